--- a/libs/ledger/src/clementinebend_ledger/__init__.py
+++ b/libs/ledger/src/clementinebend_ledger/__init__.py
@@ -1,3 +1,3 @@
-"""Pure replay and holder decisions for budgets, bills and claims."""
+"""Replay of the budget and claim logs, and a holder's use of its grants; no I/O."""
 
 __version__ = "0.1.0"
--- a/libs/ledger/src/clementinebend_ledger/bounds.py
+++ b/libs/ledger/src/clementinebend_ledger/bounds.py
@@ -1,10 +1,10 @@
-"""The most that one request can cost, known before it runs."""
+"""Upper bound on the token cost of a request, computed before dispatch."""
 
 
 def upper_bound(prompt_bytes: int, token_limit: int) -> int:
-    """Return the tokens to reserve for a request.
+    """Return the number of tokens to reserve for a request.
 
-    A prompt has at most as many tokens as bytes, and the engine enforces the
-    limit on the answer's tokens.
+    A prompt has at most one token per byte, and the engine enforces the limit
+    on generated tokens.
     """
     return prompt_bytes + token_limit
