--- a/libs/ledger/src/clementinebend_ledger/checkpoints.py
+++ b/libs/ledger/src/clementinebend_ledger/checkpoints.py
@@ -1,8 +1,8 @@
-"""Checkpoints: the whole state of a ledger or claims stream at an offset.
+"""Checkpoints: serialized snapshots of a ledger or claims stream at an offset.
 
-Containers keep their order through the codec, so a reader that starts from a
-checkpoint has the same digest as one that read the stream from its start.
-Source: msgpack specification.
+msgpack encodes maps and arrays in insertion order (see its specification), so a
+reader that restores a checkpoint computes the same digests as one that replayed
+the stream from the beginning.
 """
 
 from typing import Any, cast
@@ -16,38 +16,38 @@
 
 
 def ledger_digest(state: LedgerState) -> str:
-    """Return the digest of the whole state; equal at equal offsets."""
+    """Return the digest of the state; all readers agree on it at each offset."""
     return digest_of(_encode(state))
 
 
 def ledger_checkpoint(state: LedgerState, stream: str) -> Checkpoint:
-    """Return the record from which a cold reader of ``stream`` may start."""
+    """Return a checkpoint record, from which a new reader of ``stream`` can start."""
     data = _encode(state)
     return Checkpoint(stream, state.offset, digest_of(data), data)
 
 
 def restore_ledger(checkpoint: Checkpoint) -> LedgerState:
-    """Return the state in a checkpoint.
+    """Decode the ledger state of a checkpoint.
 
-    Raises ``ValueError`` if the bytes do not have the digest: every writer of
-    checkpoints computes both from one state, so this is a broken invariant.
+    Raises ``ValueError`` if the digest does not match the bytes: a writer computes
+    both from the same state, so a mismatch is a violated invariant.
     """
     return LedgerState(*_decode(checkpoint))
 
 
 def claims_digest(state: ClaimsState) -> str:
-    """Return the digest of the whole state; equal at equal offsets."""
+    """Return the digest of the state; all readers agree on it at each offset."""
     return digest_of(_encode(state))
 
 
 def claims_checkpoint(state: ClaimsState, stream: str) -> Checkpoint:
-    """Return the record from which a cold reader of ``stream`` may start."""
+    """Return a checkpoint record, from which a new reader of ``stream`` can start."""
     data = _encode(state)
     return Checkpoint(stream, state.offset, digest_of(data), data)
 
 
 def restore_claims(checkpoint: Checkpoint) -> ClaimsState:
-    """Return the state in a checkpoint; raises as ``restore_ledger`` does."""
+    """Decode the claims state of a checkpoint; raises as ``restore_ledger`` does."""
     state = ClaimsState(*_decode(checkpoint))
     for entry in state.claims.values():
         if entry["answer"] is not None:
@@ -61,5 +61,7 @@
 
 def _decode(checkpoint: Checkpoint) -> list[Any]:
     if digest_of(checkpoint.state) != checkpoint.digest:
-        raise ValueError(f"checkpoint of {checkpoint.stream} has another digest")
+        raise ValueError(
+            f"checkpoint of stream {checkpoint.stream} does not match its digest"
+        )
     return cast(list[Any], unpackb(checkpoint.state))
--- a/tests/unit/ledger/test_replay.py
+++ b/tests/unit/ledger/test_replay.py
@@ -240,7 +240,7 @@
     restored = restore_ledger(checkpoint)
     assert restored == script.state
     assert ledger_digest(restored) == checkpoint.digest == ledger_digest(script.state)
-    with pytest.raises(ValueError, match="another digest"):
+    with pytest.raises(ValueError, match="ledger-0 does not match its digest"):
         restore_ledger(checkpoint._replace(state=checkpoint.state + b"\0"))
 
 
