--- a/libs/ledger/src/clementinebend_ledger/claims.py
+++ b/libs/ledger/src/clementinebend_ledger/claims.py
@@ -134,14 +134,14 @@
     """Apply the batch at ``offset``; one that was applied already is dropped."""
     if offset <= state.offset:
         return state, (ClaimIgnored("offset already replayed"),)
-    moved = state._replace(offset=offset)
+    next_state = state._replace(offset=offset)
     if batch.sequence <= state.sequences.get(batch.writer, 0):
-        return moved, (ClaimIgnored("batch repeated"),)
-    moved.sequences.pop(batch.writer, None)
-    moved.sequences[batch.writer] = batch.sequence
-    trim_oldest(moved.sequences, WRITER_WINDOW)
-    outcomes = [_apply(record, moved) for record in batch.records]
-    return moved, tuple(chain.from_iterable(outcomes))
+        return next_state, (ClaimIgnored("batch repeated"),)
+    next_state.sequences.pop(batch.writer, None)
+    next_state.sequences[batch.writer] = batch.sequence
+    trim_oldest(next_state.sequences, WRITER_WINDOW)
+    outcomes = [_apply(record, next_state) for record in batch.records]
+    return next_state, tuple(chain.from_iterable(outcomes))
 
 
 def claim_of(state: ClaimsState, key: RequestKey) -> ClaimView | None:
--- a/libs/ledger/src/clementinebend_ledger/replay.py
+++ b/libs/ledger/src/clementinebend_ledger/replay.py
@@ -75,12 +75,12 @@
     """Apply the batch at ``offset``; one that was applied already is dropped."""
     if offset <= state.offset:
         return state, (Ignored("offset already replayed"),)
-    moved = state._replace(offset=offset)
+    next_state = state._replace(offset=offset)
     if batch.sequence <= state.sequences.get(batch.writer, 0):
-        return moved, (Ignored("batch repeated"),)
-    _note_writer(moved, batch.writer, batch.sequence)
-    outcomes = [apply(record, moved) for record in batch.records]
-    return moved, tuple(chain.from_iterable(outcomes))
+        return next_state, (Ignored("batch repeated"),)
+    _note_writer(next_state, batch.writer, batch.sequence)
+    outcomes = [apply(record, next_state) for record in batch.records]
+    return next_state, tuple(chain.from_iterable(outcomes))
 
 
 @singledispatch
