--- a/libs/ledger/src/clementinebend_ledger/claims.py
+++ b/libs/ledger/src/clementinebend_ledger/claims.py
@@ -195,18 +195,18 @@
 def _(record: ClaimVoid, state: ClaimsState) -> tuple[ClaimsOutcome, ...]:
     entry = state.claims.get(record.key)
     if entry is None:
-        _note_void(state, record.run)
+        _record_void(state, record.run)
         return (ClaimFreed(record.key, record.run),)
     if entry["run"] != record.run or entry["claimant"] != record.author:
         return (ClaimIgnored("void of another's claim"),)
     if entry["answer"] is not None:
         return (ClaimIgnored("void of a finished call"),)
     del state.claims[record.key]
-    _note_void(state, record.run)
+    _record_void(state, record.run)
     return (ClaimFreed(record.key, record.run),)
 
 
-def _note_void(state: ClaimsState, run: RunId) -> None:
+def _record_void(state: ClaimsState, run: RunId) -> None:
     state.voided[run] = None
     trim_oldest(state.voided, VOID_WINDOW)
 
