--- a/libs/ledger/src/clementinebend_ledger/claims.py
+++ b/libs/ledger/src/clementinebend_ledger/claims.py
@@ -1,8 +1,9 @@
-"""Replay of one claims stream: who may execute a non-idempotent call.
+"""Replay of a claims stream, which decides who executes a non-idempotent call.
 
-The first claim of a key in offset order wins and is never taken over. Its
-outcome is recorded once, so that a retry gets the same answer. Claims without
-an outcome are kept for ever, finished ones within a bound.
+The first claim of a key in offset order wins, and the key is never reassigned
+while that claim stands. The outcome of the call is recorded once, so that every
+retry gets the same answer. Claims without an outcome are kept without limit;
+finished claims are evicted oldest first.
 """
 
 from functools import singledispatch
@@ -14,17 +15,17 @@
 from clementinebend_records.records import Batch, Claim, ClaimOutcome, ClaimVoid
 
 FINISHED_CLAIMS = 16_384
-"""Finished claims kept, counted in claims: how far back a retry is answered."""
+"""Maximum number of finished claims kept; a retry of an evicted one runs again."""
 
 FINISHED_BODY_BYTES = 16 * 1024 * 1024
-"""Bytes of recorded answers kept in all."""
+"""Maximum total size of the recorded answer bodies."""
 
 VOID_WINDOW = 16_384
-"""Runs known never to execute, so that a late claim of theirs cannot win."""
+"""Number of voided runs remembered, so that a late claim of one cannot win."""
 
 
 class RecordedAnswer(NamedTuple):
-    """The answer that every retry of a finished call gets."""
+    """The HTTP response returned to every retry of a finished call."""
 
     status: int
     content_type: str
@@ -32,7 +33,7 @@
 
 
 class ClaimEntry(TypedDict):
-    """A key that is claimed; ``offset`` is that of the winning claim."""
+    """The claim of a key; ``offset`` is that of the winning record."""
 
     body_digest: str
     claimant: Incarnation
@@ -42,7 +43,7 @@
 
 
 class ClaimView(NamedTuple):
-    """What a reader may know of a claimed key."""
+    """Read-only copy of a claim, for callers."""
 
     body_digest: str
     claimant: Incarnation
@@ -52,7 +53,11 @@
 
 
 class ClaimsState(NamedTuple):
-    """Pure replay of one claims stream up to and including ``offset``."""
+    """State of a claims stream after the batch at ``offset``.
+
+    ``finished`` has the body size of each finished claim, ``voided`` the runs that
+    must not execute, ``sequences`` the last sequence number of each writer.
+    """
 
     offset: int
     claims: dict[RequestKey, ClaimEntry]
@@ -62,7 +67,7 @@
 
 
 class ClaimWon(NamedTuple):
-    """``run`` alone may execute the call of ``key``."""
+    """Only ``run`` may execute the call with ``key``."""
 
     key: RequestKey
     run: RunId
@@ -70,7 +75,7 @@
 
 
 class ClaimLost(NamedTuple):
-    """``run`` may not execute: the key belongs to ``winner``."""
+    """``run`` must not execute: ``winner`` claimed the key first."""
 
     key: RequestKey
     run: RunId
@@ -78,7 +83,7 @@
 
 
 class ClaimConflict(NamedTuple):
-    """``run`` may not execute: the key was claimed for another body."""
+    """``run`` must not execute: ``winner`` claimed the key for another body."""
 
     key: RequestKey
     run: RunId
@@ -86,21 +91,21 @@
 
 
 class ClaimRefused(NamedTuple):
-    """``run`` may not execute: it was said never to run. The key is free."""
+    """``run`` must not execute: it was voided before. The key stays as it was."""
 
     key: RequestKey
     run: RunId
 
 
 class ClaimRecorded(NamedTuple):
-    """The answer of ``run`` is kept for retries."""
+    """The answer of ``run`` was recorded for retries."""
 
     key: RequestKey
     run: RunId
 
 
 class ClaimFreed(NamedTuple):
-    """The key has no claim: a new one may win."""
+    """The key has no claim any more, so the next claim wins."""
 
     key: RequestKey
     run: RunId
@@ -124,14 +129,14 @@
 
 
 def empty_claims() -> ClaimsState:
-    """Return the state before the first record."""
+    """Return the state of an empty stream."""
     return ClaimsState(-1, {}, {}, {}, {})
 
 
 def replay_claims(
     state: ClaimsState, offset: int, batch: Batch
 ) -> tuple[ClaimsState, tuple[ClaimsOutcome, ...]]:
-    """Apply the batch at ``offset``; one that was applied already is dropped."""
+    """Apply the batch at ``offset``; a batch that was already applied is ignored."""
     if offset <= state.offset:
         return state, (ClaimIgnored("offset already replayed"),)
     next_state = state._replace(offset=offset)
@@ -145,7 +150,7 @@
 
 
 def claim_of(state: ClaimsState, key: RequestKey) -> ClaimView | None:
-    """Return the claim that stands for ``key``."""
+    """Return the current claim of ``key``, or ``None``."""
     entry = state.claims.get(key)
     return None if entry is None else ClaimView(**entry)
 
@@ -212,7 +217,7 @@
 
 
 def _trim_finished(state: ClaimsState) -> None:
-    """Forget the oldest finished claims above either bound."""
+    """Evict the oldest finished claims until both limits are met."""
     total = sum(state.finished.values())
     while len(state.finished) > FINISHED_CLAIMS or total > FINISHED_BODY_BYTES:
         oldest = next(iter(state.finished))
