--- a/libs/ledger/src/clementinebend_ledger/closing.py
+++ b/libs/ledger/src/clementinebend_ledger/closing.py
@@ -55,7 +55,7 @@
     entry["closed"] = True
     entry["clean"] = clean
     closed = HolderClosed(record.holder)
-    return closed, *_release_discharged(state, record.holder)
+    return closed, *_release_acknowledged(state, record.holder)
 
 
 def acknowledge(state: LedgerState, record: CloseAck) -> tuple[LedgerOutcome, ...]:
@@ -73,7 +73,7 @@
     else:
         entry["peers"][record.witness] = WitnessStatus.ACKNOWLEDGED
     acknowledged = WitnessAcknowledged(*record)
-    return acknowledged, *_release_discharged(state, record.holder)
+    return acknowledged, *_release_acknowledged(state, record.holder)
 
 
 def peer_status(state: LedgerState, peer: Incarnation) -> WitnessStatus:
@@ -85,10 +85,10 @@
         return WitnessStatus.OPEN
     if entry["clean"]:
         return WitnessStatus.ACKNOWLEDGED
-    return _joint_status(entry["sidecars"])
+    return _combined_status(entry["sidecars"])
 
 
-def _joint_status(statuses: dict[Incarnation, int]) -> WitnessStatus:
+def _combined_status(statuses: dict[Incarnation, int]) -> WitnessStatus:
     found = set(statuses.values())
     if WitnessStatus.OPEN in found:
         return WitnessStatus.OPEN
@@ -104,19 +104,19 @@
         statuses[witness] = status
 
 
-def _release_discharged(
+def _release_acknowledged(
     state: LedgerState, changed: Incarnation
 ) -> tuple[LedgerOutcome, ...]:
     """Release every closed holder that a change of ``changed`` discharged."""
     status = peer_status(state, changed)
     if status != WitnessStatus.OPEN:
-        _discharge_peer(state, changed, status)
+        _set_peer_status(state, changed, status)
     closing = [name for name, entry in state.holders.items() if entry["closed"]]
-    released = (_release_if_discharged(state, holder) for holder in closing)
+    released = (_release_if_acknowledged(state, holder) for holder in closing)
     return tuple(chain.from_iterable(released))
 
 
-def _discharge_peer(
+def _set_peer_status(
     state: LedgerState, peer: Incarnation, status: WitnessStatus
 ) -> None:
     scopes = (entry["peers"] for entry in state.holders.values())
@@ -125,7 +125,7 @@
             peers[peer] = status
 
 
-def _release_if_discharged(
+def _release_if_acknowledged(
     state: LedgerState, holder: Incarnation
 ) -> tuple[LedgerOutcome, ...]:
     entry = state.holders[holder]
@@ -145,7 +145,7 @@
 def _release_status(entry: HolderEntry) -> WitnessStatus:
     if entry["clean"]:
         return WitnessStatus.ACKNOWLEDGED
-    return _joint_status(entry["sidecars"] | entry["peers"])
+    return _combined_status(entry["sidecars"] | entry["peers"])
 
 
 def _end_grant(state: LedgerState, grant: GrantId, status: WitnessStatus) -> int:
