--- a/libs/ledger/src/clementinebend_ledger/closing.py
+++ b/libs/ledger/src/clementinebend_ledger/closing.py
@@ -1,9 +1,10 @@
-"""Scopes, closes and releases of holders.
+"""Replay of holder scopes, closes and releases.
 
-A closed holder's remainder is freed only when nobody can spend under it any
-more: every sidecar in its scope refuses it, and every peer in its scope
-refuses it or is itself closed with all of its own sidecars refusing. If a
-sidecar was lost with its memory, the remainder stays held instead.
+The unspent tokens of a closed holder are released only once no process can spend
+them: every sidecar in its scope rejects the holder, and every peer in its scope
+either rejects it or is itself closed and rejected by all of its own sidecars. If
+a sidecar lost its memory, the tokens are held instead, since it may have started
+runs that nobody else knows of.
 """
 
 from itertools import chain
@@ -33,7 +34,7 @@
 
 
 def widen_scope(state: LedgerState, record: Scope) -> tuple[LedgerOutcome, ...]:
-    """Add witnesses to a holder that is not closed."""
+    """Add witnesses to the scope of a holder that is not closed."""
     if is_closed(state, record.holder):
         return (Ignored("scope of a closed holder"),)
     entry = holder_entry(state, record.holder)
@@ -45,7 +46,7 @@
 
 
 def close_holder(state: LedgerState, record: HolderClose) -> tuple[LedgerOutcome, ...]:
-    """Close a holder; its own clean close releases it at once."""
+    """Close a holder; a clean close by the holder itself releases it at once."""
     clean = record.clean and record.closed_by == record.holder
     if record.holder in state.released:
         return (Ignored("holder already released"),)
@@ -59,7 +60,7 @@
 
 
 def acknowledge(state: LedgerState, record: CloseAck) -> tuple[LedgerOutcome, ...]:
-    """Note that a witness refuses a closed holder."""
+    """Record that a witness rejects a closed holder, or that it was lost."""
     entry = state.holders.get(record.holder)
     if entry is None or not entry["closed"]:
         return (Ignored("acknowledged holder is not closed"),)
@@ -77,7 +78,7 @@
 
 
 def peer_status(state: LedgerState, peer: Incarnation) -> WitnessStatus:
-    """Return what the close of ``peer`` itself proves about its spending."""
+    """Return the status of ``peer`` as a witness that follows from its own close."""
     if peer in state.released:
         return WitnessStatus(state.released[peer])
     entry = state.holders.get(peer)
@@ -99,7 +100,7 @@
 def _set_status(
     statuses: dict[Incarnation, int], witness: Incarnation, status: WitnessStatus
 ) -> None:
-    """Let evidence replace a loss, but never a loss replace evidence."""
+    """Set a status; an acknowledgement replaces a loss, but not the reverse."""
     if statuses[witness] != WitnessStatus.ACKNOWLEDGED:
         statuses[witness] = status
 
@@ -107,7 +108,7 @@
 def _release_acknowledged(
     state: LedgerState, changed: Incarnation
 ) -> tuple[LedgerOutcome, ...]:
-    """Release every closed holder that a change of ``changed`` discharged."""
+    """Release the closed holders that the change of ``changed`` lets be released."""
     status = peer_status(state, changed)
     if status != WitnessStatus.OPEN:
         _set_peer_status(state, changed, status)
