--- a/libs/bench/src/clementinebend_bench/models/budget_arms.py
+++ b/libs/bench/src/clementinebend_bench/models/budget_arms.py
@@ -9,7 +9,6 @@
 from clementinebend_bench.models.fixed_grants import plan_fixed
 from clementinebend_bench.models.spending_world import World
 from clementinebend_bench.models.virtual_log import News, VirtualLog
-from clementinebend_ledger.giving import give, receive
 from clementinebend_ledger.holder import (
     HolderState,
     Reserved,
@@ -22,6 +21,7 @@
     settle,
 )
 from clementinebend_ledger.holder_state import free_tokens
+from clementinebend_ledger.holder_transfers import give, receive
 from clementinebend_ledger.outcomes import ScopeWidened
 from clementinebend_ledger.replay import BudgetSummary
 from clementinebend_records.identifiers import GrantId, Incarnation, RequestKey, RunId
--- a/libs/ledger/src/clementinebend_ledger/holder.py
+++ b/libs/ledger/src/clementinebend_ledger/holder.py
@@ -7,7 +7,6 @@
 
 from collections.abc import Iterable
 
-from clementinebend_ledger.giving import give, receive, refuse_sender
 from clementinebend_ledger.holder_state import (
     BudgetUse,
     HolderState,
@@ -20,6 +19,7 @@
     empty_holder,
     release_busy,
 )
+from clementinebend_ledger.holder_transfers import give, receive, refuse_sender
 from clementinebend_ledger.holding import on_outcome
 from clementinebend_ledger.planning import budget_seen, close_cleanly, plan
 from clementinebend_ledger.resuming import resume
--- a/libs/ledger/src/clementinebend_ledger/holding.py
+++ b/libs/ledger/src/clementinebend_ledger/holding.py
@@ -3,12 +3,12 @@
 from functools import singledispatch
 from typing import Any
 
-from clementinebend_ledger.giving import add_grant, note_transfer
 from clementinebend_ledger.holder_state import (
     HolderState,
     budget_use,
     release_busy,
 )
+from clementinebend_ledger.holder_transfers import add_grant, note_transfer
 from clementinebend_ledger.outcomes import (
     Billed,
     BillRepeated,
--- a/libs/ledger/src/clementinebend_ledger/resuming.py
+++ b/libs/ledger/src/clementinebend_ledger/resuming.py
@@ -1,7 +1,7 @@
 """How a holder catches up from a checkpoint, past outcomes it never read."""
 
-from clementinebend_ledger.giving import add_grant, note_transfer
 from clementinebend_ledger.holder_state import BudgetUse, HolderState, release_busy
+from clementinebend_ledger.holder_transfers import add_grant, note_transfer
 from clementinebend_ledger.state import LedgerState
 from clementinebend_records.identifiers import GrantId, RunId
 
