--- a/libs/bench/src/clementinebend_bench/models/budget_arms.py
+++ b/libs/bench/src/clementinebend_bench/models/budget_arms.py
@@ -21,7 +21,7 @@
     settle,
 )
 from clementinebend_ledger.holder_state import free_tokens
-from clementinebend_ledger.holder_transfers import give, receive
+from clementinebend_ledger.holder_transfers import receive_transfer, send_transfer
 from clementinebend_ledger.outcomes import ScopeWidened
 from clementinebend_ledger.replay import BudgetSummary
 from clementinebend_records.identifiers import GrantId, Incarnation, RequestKey, RunId
@@ -235,8 +235,10 @@
         self.parts += 1
         transfer = GrantId(f"part-{self.parts}")
         receiver = entry.holder.incarnation
-        peer.holder, part = give(peer.holder, row.budget, transfer, receiver, row.bound)
-        entry.holder = receive(entry.holder, part)
+        peer.holder, part = send_transfer(
+            peer.holder, row.budget, transfer, receiver, row.bound
+        )
+        entry.holder = receive_transfer(entry.holder, part)
         return part.amount >= row.bound
 
     def is_hopeless(self, entry: GrantEntry, waiting: Waiting, now: float) -> bool:
--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -45,7 +45,7 @@
     Reserved,
     budget_seen,
     has_witness,
-    receive,
+    receive_transfer,
     reserve,
     settle,
 )
@@ -213,7 +213,7 @@
 
     @take.register
     def _(self, event: PartReceived) -> None:
-        self.holder = receive(self.holder, event.give)
+        self.holder = receive_transfer(self.holder, event.give)
         self.dirty.set()
 
     @take.register
--- a/libs/entry/src/clementinebend_entry/lender.py
+++ b/libs/entry/src/clementinebend_entry/lender.py
@@ -1,7 +1,7 @@
 """Passes parts of this entry's grants to peers on its side of a cut."""
 
 from clementinebend_entry.ledger import Ledger
-from clementinebend_ledger.holder import give, refuse_sender
+from clementinebend_ledger.holder import refuse_sender, send_transfer
 from clementinebend_records.identifiers import GrantId, Incarnation, new_run_id
 from clementinebend_records.messages import TransferAsk, TransferGive
 from clementinebend_records.records import Record
@@ -23,7 +23,7 @@
         ledger = self.ledger
         transfer = GrantId(f"{ledger.incarnation}/t{new_run_id()}")
         stream = ledger.shards.of_budget(ask.budget).stream
-        ledger.holder, message = give(
+        ledger.holder, message = send_transfer(
             ledger.holder,
             ask.budget,
             transfer,
--- a/libs/ledger/src/clementinebend_ledger/holder.py
+++ b/libs/ledger/src/clementinebend_ledger/holder.py
@@ -19,7 +19,11 @@
     empty_holder,
     release_busy,
 )
-from clementinebend_ledger.holder_transfers import give, receive, refuse_sender
+from clementinebend_ledger.holder_transfers import (
+    receive_transfer,
+    refuse_sender,
+    send_transfer,
+)
 from clementinebend_ledger.holding import on_outcome
 from clementinebend_ledger.planning import budget_seen, close_cleanly, plan
 from clementinebend_ledger.resuming import resume
@@ -41,11 +45,11 @@
     "cancel",
     "close_cleanly",
     "empty_holder",
-    "give",
+    "send_transfer",
     "has_witness",
     "on_outcome",
     "plan",
-    "receive",
+    "receive_transfer",
     "refuse_sender",
     "reserve",
     "resume",
--- a/libs/ledger/src/clementinebend_ledger/holder_transfers.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_transfers.py
@@ -19,7 +19,7 @@
 from clementinebend_records.records import Transfer
 
 
-def give(
+def send_transfer(
     holder: HolderState,
     budget: str,
     transfer: GrantId,
@@ -52,7 +52,7 @@
     return holder, TransferGive(question, *record)
 
 
-def receive(holder: HolderState, message: TransferGive) -> HolderState:
+def receive_transfer(holder: HolderState, message: TransferGive) -> HolderState:
     """Take a part that a peer passed: it is usable at once.
 
     Refused from a sender whose close this entry has acknowledged or read, and
--- a/tests/unit/ledger/fuzz_entry.py
+++ b/tests/unit/ledger/fuzz_entry.py
@@ -9,14 +9,14 @@
     cancel,
     close_cleanly,
     empty_holder,
-    give,
     has_witness,
     on_outcome,
     plan,
-    receive,
+    receive_transfer,
     refuse_sender,
     reserve,
     resume,
+    send_transfer,
     settle,
     widen,
 )
@@ -144,16 +144,18 @@
         for run in list(self.holder.waiting):
             self.holder = cancel(self.holder, run)
 
-    def give(
+    def send_transfer(
         self, budget: str, transfer: GrantId, receiver: Incarnation, amount: int
     ) -> TransferGive:
         """Pass a part of a grant to a peer."""
-        self.holder, message = give(self.holder, budget, transfer, receiver, amount)
+        self.holder, message = send_transfer(
+            self.holder, budget, transfer, receiver, amount
+        )
         return message
 
-    def receive(self, message: TransferGive) -> None:
+    def receive_transfer(self, message: TransferGive) -> None:
         """Take a part from a peer."""
-        self.holder = receive(self.holder, message)
+        self.holder = receive_transfer(self.holder, message)
 
     def leave(self) -> None:
         """Stop as planned, once nothing is in flight."""
--- a/tests/unit/ledger/fuzz_traffic.py
+++ b/tests/unit/ledger/fuzz_traffic.py
@@ -48,14 +48,14 @@
     ) -> bool:
         """Pass a part of a grant; say whether the sender had one."""
         transfer = GrantId(self.name("part"))
-        message = sender.give(budget, transfer, receiver.incarnation, amount)
+        message = sender.send_transfer(budget, transfer, receiver.incarnation, amount)
         if not message.amount:
             return False
         counted["transferred"] += 1
         self.network.gives.append(message)
         self.oracle.parts[transfer] = message.grant
         if arrives:
-            receiver.receive(message)
+            receiver.receive_transfer(message)
         return True
 
     def start_run(
@@ -108,7 +108,7 @@
             return
         self.use_part(receiver, budget)
         self.use_part(receiver, budget)
-        receiver.receive(self.network.gives[-1])
+        receiver.receive_transfer(self.network.gives[-1])
         self.use_part(receiver, budget)
 
     def use_part(self, entry: FakeEntry, budget: str) -> None:
--- a/tests/unit/ledger/test_stateful_ledger.py
+++ b/tests/unit/ledger/test_stateful_ledger.py
@@ -359,7 +359,7 @@
     def late_transfer(self, which: int) -> None:
         message = pick(self.network.gives, which)
         for entry in self.awake():
-            entry.receive(message)
+            entry.receive_transfer(message)
 
     @precondition(lambda self: self.oracle.holds())
     @rule(which=picks)
--- a/tests/unit/ledger/test_transfers.py
+++ b/tests/unit/ledger/test_transfers.py
@@ -4,12 +4,12 @@
     HolderState,
     close_cleanly,
     empty_holder,
-    give,
     on_outcome,
     plan,
-    receive,
+    receive_transfer,
     refuse_sender,
     reserve,
+    send_transfer,
     settle,
     widen,
 )
@@ -107,23 +107,23 @@
 
 def test_a_part_that_is_of_no_use_is_not_given() -> None:
     holder = giving_holder(Script())
-    holder, message = give(holder, TEAM, PART, BOB, 90, least=61)
+    holder, message = send_transfer(holder, TEAM, PART, BOB, 90, least=61)
     assert message.amount == 0
-    _, message = give(holder, TEAM, PART, BOB, 90, least=60)
+    _, message = send_transfer(holder, TEAM, PART, BOB, 90, least=60)
     assert message.amount == 60
 
 
 def test_sender_subtracts_and_receiver_spends_at_once() -> None:
     script = Script()
     alice, bob = giving_holder(script), empty_holder(BOB)
-    alice, nothing = give(alice, TEAM, PART, Incarnation("eve#1"), 20)
+    alice, nothing = send_transfer(alice, TEAM, PART, Incarnation("eve#1"), 20)
     assert nothing.amount == 0
-    alice, message = give(alice, TEAM, PART, BOB, 50)
+    alice, message = send_transfer(alice, TEAM, PART, BOB, 50)
     assert message.amount == 50
-    assert give(alice, TEAM, PART, BOB, 5)[1].amount == 0
-    assert give(alice, TEAM, GrantId("u"), BOB, 50)[1].amount == 10
-    bob, _ = reserve(receive(bob, message), TEAM, RunId("s"), 50, 0.0)
-    bob = receive(bob, message)
+    assert send_transfer(alice, TEAM, PART, BOB, 5)[1].amount == 0
+    assert send_transfer(alice, TEAM, GrantId("u"), BOB, 50)[1].amount == 10
+    bob, _ = reserve(receive_transfer(bob, message), TEAM, RunId("s"), 50, 0.0)
+    bob = receive_transfer(bob, message)
     assert isinstance(reserve(bob, TEAM, RunId("x"), 1, 0.0)[1], NeedsGrant)
     bob, _ = settle(bob, RunId("s"), RequestKey("k"), 30)
     bob, rows = plan(bob, 0.0, 0.0)
@@ -134,21 +134,23 @@
 
 def test_receiver_learns_of_a_lost_message_from_the_log() -> None:
     script = Script()
-    alice, message = give(giving_holder(script), TEAM, PART, BOB, 50)
+    alice, message = send_transfer(giving_holder(script), TEAM, PART, BOB, 50)
     alice, records = close_cleanly(alice)
     bob = empty_holder(BOB)
     for outcome in script.add(*records):
         bob = on_outcome(bob, outcome, 0.0)
     assert bob.budgets[TEAM]["grants"][PART]["free"] == 50
-    bob = receive(bob, message)
+    bob = receive_transfer(bob, message)
     assert bob.budgets[TEAM]["grants"][PART]["free"] == 50
 
 
 def test_receiver_takes_a_part_once_from_message_and_log() -> None:
     script = Script()
-    alice, message = give(giving_holder(script), TEAM, PART, BOB, 50)
+    alice, message = send_transfer(giving_holder(script), TEAM, PART, BOB, 50)
     _, rows = plan(alice, 0.0, 0.0)
-    bob, _ = reserve(receive(empty_holder(BOB), message), TEAM, RunId("s"), 40, 0.0)
+    bob, _ = reserve(
+        receive_transfer(empty_holder(BOB), message), TEAM, RunId("s"), 40, 0.0
+    )
     for outcome in script.add(*rows[TEAM]):
         bob = on_outcome(bob, outcome, 0.0)
     assert bob.budgets[TEAM]["grants"][PART]["free"] == 10
@@ -158,23 +160,25 @@
     bob, scopes = widen(empty_holder(BOB), (), (ALICE,))
     for outcome in Script().add(*scopes):
         bob = on_outcome(bob, outcome, 0.0)
-    _, message = give(giving_holder(Script()), TEAM, PART, BOB, 50)
-    _, onward = give(receive(bob, message), TEAM, GrantId("u"), ALICE, 5)
+    _, message = send_transfer(giving_holder(Script()), TEAM, PART, BOB, 50)
+    _, onward = send_transfer(
+        receive_transfer(bob, message), TEAM, GrantId("u"), ALICE, 5
+    )
     assert onward.amount == 0
 
 
 def test_sender_whose_close_was_read_is_refused() -> None:
-    _, message = give(giving_holder(Script()), TEAM, PART, BOB, 50)
+    _, message = send_transfer(giving_holder(Script()), TEAM, PART, BOB, 50)
     bob = on_outcome(empty_holder(BOB), HolderClosed(ALICE), 0.0)
-    assert receive(bob, message).budgets == {}
+    assert receive_transfer(bob, message).budgets == {}
 
 
 def test_receiver_logs_parts_before_it_acknowledges_a_close() -> None:
     script = Script()
-    _, message = give(giving_holder(script), TEAM, PART, BOB, 50)
-    bob, records = refuse_sender(receive(empty_holder(BOB), message), ALICE)
+    _, message = send_transfer(giving_holder(script), TEAM, PART, BOB, 50)
+    bob, records = refuse_sender(receive_transfer(empty_holder(BOB), message), ALICE)
     assert records == (transfer(50, grant=message.grant),)
     script.add(close(ALICE))
     assert script.add(*records, ack(ALICE, BOB))[-1] == HolderReleased(ALICE, 10, 0)
     later = message._replace(transfer=GrantId("u"))
-    assert GrantId("u") not in receive(bob, later).budgets[TEAM]["grants"]
+    assert GrantId("u") not in receive_transfer(bob, later).budgets[TEAM]["grants"]
