--- a/libs/ledger/src/clementinebend_ledger/holder_transfers.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_transfers.py
@@ -27,14 +27,14 @@
     amount: int,
     stream: str = "",
     question: int = 0,
-    least: int = 0,
+    min_amount: int = 0,
 ) -> tuple[HolderState, TransferGive]:
     """Pass up to ``amount`` of one of the holder's own grants to a peer.
 
-    Amount 0 if none has free tokens or as many as ``least``, if the receiver
+    Amount 0 if none has free tokens or as many as ``min_amount``, if the receiver
     is not a witness in force, or if ``transfer`` was used already.
     """
-    grant = _largest_own(holder, budget, least)
+    grant = _largest_original_grant(holder, budget, min_amount)
     usable = receiver in holder.witnesses.get(stream, {}) and not holder.closed
     known = transfer in holder.known_transfers
     if grant is None or not usable or known or amount <= 0:
@@ -48,7 +48,7 @@
     use["grants"][grant]["free"] -= given
     forget_spent(use, grant)
     record = Transfer(budget, transfer, grant, holder.incarnation, receiver, given)
-    _note_unlogged(holder, record)
+    _add_unlogged(holder, record)
     return holder, TransferGive(question, *record)
 
 
@@ -64,7 +64,7 @@
     if misplaced or refused or known:
         return holder
     record = Transfer(*message[1:])
-    _note_unlogged(holder, record)
+    _add_unlogged(holder, record)
     add_grant(holder, record.budget, record.transfer, record.amount, transferred=True)
     return holder
 
@@ -90,20 +90,22 @@
     budget_use(holder, budget)["grants"][grant] = own
 
 
-def note_transfer(holder: HolderState, transfer: GrantId) -> None:
+def remember_transfer(holder: HolderState, transfer: GrantId) -> None:
     """Remember that a part was given or taken."""
     holder.known_transfers[transfer] = None
     trim_oldest(holder.known_transfers, TRANSFER_WINDOW)
 
 
-def _note_unlogged(holder: HolderState, record: Transfer) -> None:
+def _add_unlogged(holder: HolderState, record: Transfer) -> None:
     holder.transfers[record.transfer] = UnloggedTransfer(record, sent=False)
-    note_transfer(holder, record.transfer)
+    remember_transfer(holder, record.transfer)
 
 
-def _largest_own(holder: HolderState, budget: str, least: int) -> GrantId | None:
+def _largest_original_grant(
+    holder: HolderState, budget: str, min_amount: int
+) -> GrantId | None:
     use = holder.budgets.get(budget)
     grants = use["grants"].items() if use else ()
     own = {name: grant["free"] for name, grant in grants if not grant["transferred"]}
     largest = max(own, key=own.__getitem__, default=None)
-    return largest if largest and own[largest] >= max(1, least) else None
+    return largest if largest and own[largest] >= max(1, min_amount) else None
--- a/libs/ledger/src/clementinebend_ledger/holding.py
+++ b/libs/ledger/src/clementinebend_ledger/holding.py
@@ -8,7 +8,7 @@
     budget_use,
     release_busy,
 )
-from clementinebend_ledger.holder_transfers import add_grant, note_transfer
+from clementinebend_ledger.holder_transfers import add_grant, remember_transfer
 from clementinebend_ledger.outcomes import (
     Billed,
     BillRepeated,
@@ -101,7 +101,7 @@
     holder.transfers.pop(outcome.transfer, None)
     mine = outcome.receiver == holder.incarnation and not holder.closed
     if mine and outcome.transfer not in holder.known_transfers:
-        note_transfer(holder, outcome.transfer)
+        remember_transfer(holder, outcome.transfer)
         add_grant(
             holder, outcome.budget, outcome.transfer, outcome.amount, transferred=True
         )
--- a/libs/ledger/src/clementinebend_ledger/resuming.py
+++ b/libs/ledger/src/clementinebend_ledger/resuming.py
@@ -1,7 +1,7 @@
 """How a holder catches up from a checkpoint, past outcomes it never read."""
 
 from clementinebend_ledger.holder_state import BudgetUse, HolderState, release_busy
-from clementinebend_ledger.holder_transfers import add_grant, note_transfer
+from clementinebend_ledger.holder_transfers import add_grant, remember_transfer
 from clementinebend_ledger.state import LedgerState
 from clementinebend_records.identifiers import GrantId, RunId
 
@@ -53,7 +53,7 @@
     for name, grant in state.grants.items():
         mine = grant["transferred"] and grant["holder"] == holder.incarnation
         if mine and name not in holder.known_transfers:
-            note_transfer(holder, name)
+            remember_transfer(holder, name)
             add_grant(
                 holder, grant["budget"], name, grant["remainder"], transferred=True
             )
--- a/tests/unit/ledger/test_transfers.py
+++ b/tests/unit/ledger/test_transfers.py
@@ -107,9 +107,9 @@
 
 def test_a_part_that_is_of_no_use_is_not_given() -> None:
     holder = giving_holder(Script())
-    holder, message = send_transfer(holder, TEAM, PART, BOB, 90, least=61)
+    holder, message = send_transfer(holder, TEAM, PART, BOB, 90, min_amount=61)
     assert message.amount == 0
-    _, message = send_transfer(holder, TEAM, PART, BOB, 90, least=60)
+    _, message = send_transfer(holder, TEAM, PART, BOB, 90, min_amount=60)
     assert message.amount == 60
 
 
