--- a/libs/ledger/src/clementinebend_ledger/holder_transfers.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_transfers.py
@@ -1,8 +1,9 @@
-"""Parts of grants that pass directly between entries on one side of a cut.
+"""Direct transfers of granted tokens between entries, for network partitions.
 
-The sender subtracts before it sends; a part is never passed on twice. Both
-sides log the record, so a part is known whichever of them lives. Source:
-rights transfer of bounded counters (Balegas et al. 2015).
+The sender deducts the amount before it sends, and a received transfer is never
+transferred again. Both sides log the record, so that it reaches the log if either
+of them survives. Source: rights transfer of bounded counters (Balegas et al.
+2015).
 """
 
 from clementinebend_ledger.holder_state import (
@@ -29,10 +30,11 @@
     question: int = 0,
     min_amount: int = 0,
 ) -> tuple[HolderState, TransferGive]:
-    """Pass up to ``amount`` of one of the holder's own grants to a peer.
+    """Transfer up to ``amount`` tokens of one of the holder's grants to a peer.
 
-    Amount 0 if none has free tokens or as many as ``min_amount``, if the receiver
-    is not a witness in force, or if ``transfer`` was used already.
+    The message has amount 0 if no grant has at least ``min_amount`` free tokens, if
+    the receiver is not a logged witness of the holder or the holder is closed, or if
+    the id ``transfer`` was used before.
     """
     grant = _largest_original_grant(holder, budget, min_amount)
     usable = receiver in holder.witnesses.get(stream, {}) and not holder.closed
@@ -53,10 +55,10 @@
 
 
 def receive_transfer(holder: HolderState, message: TransferGive) -> HolderState:
-    """Take a part that a peer passed: it is usable at once.
+    """Add a transfer from a peer as a grant, which can be used at once.
 
-    Refused from a sender whose close this entry has acknowledged or read, and
-    as a repeat; the tokens then stay with the sender's grant.
+    A repeated transfer is ignored, and so is one of a sender whose close this entry
+    has acknowledged or read; the tokens of the latter stay in the sender's grant.
     """
     misplaced = message.receiver != holder.incarnation or message.amount <= 0
     refused = holder.closed or message.sender in holder.closed_senders
@@ -72,10 +74,10 @@
 def refuse_sender(
     holder: HolderState, sender: Incarnation
 ) -> tuple[HolderState, tuple[Transfer, ...]]:
-    """Refuse a closed sender's parts from now on.
+    """Reject all further transfers of a closed sender.
 
-    Returns the records to append in the batch that acknowledges its close,
-    ahead of the acknowledgement.
+    Returns the unlogged transfers received from it. The batch that acknowledges the
+    close must contain them ahead of the acknowledgement.
     """
     holder.closed_senders[sender] = None
     unlogged = (unlogged.record for unlogged in holder.transfers.values())
@@ -85,13 +87,13 @@
 def add_grant(
     holder: HolderState, budget: str, grant: GrantId, amount: int, transferred: bool
 ) -> None:
-    """Add a grant as the newest."""
+    """Add a grant behind the existing ones of its budget."""
     own = OwnGrant(free=amount, busy=0, transferred=transferred)
     budget_use(holder, budget)["grants"][grant] = own
 
 
 def remember_transfer(holder: HolderState, transfer: GrantId) -> None:
-    """Remember that a part was given or taken."""
+    """Remember the id of a transfer that was sent or received."""
     holder.known_transfers[transfer] = None
     trim_oldest(holder.known_transfers, TRANSFER_WINDOW)
 
