--- a/libs/entry/src/clementinebend_entry/posting.py
+++ b/libs/entry/src/clementinebend_entry/posting.py
@@ -43,6 +43,6 @@
 
 @_forget.register
 def _(record: Scope, holder: HolderState, stream: str) -> None:
-    asked = holder.widening.get(stream, {})
+    asked = holder.requested_witnesses.get(stream, {})
     for witness in (*record.sidecars, *record.peers):
         asked.pop(witness, None)
--- a/libs/ledger/src/clementinebend_ledger/holder.py
+++ b/libs/ledger/src/clementinebend_ledger/holder.py
@@ -140,7 +140,7 @@
     """
     if holder.closed:
         return holder, ()
-    asked = holder.widening.setdefault(stream, {})
+    asked = holder.requested_witnesses.setdefault(stream, {})
     new_sidecars = tuple(name for name in sidecars if name not in asked)
     new_peers = tuple(name for name in peers if name not in asked)
     if not new_sidecars and not new_peers:
--- a/libs/ledger/src/clementinebend_ledger/holder_state.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_state.py
@@ -76,7 +76,7 @@
 class HolderState(NamedTuple):
     """One entry incarnation as a holder; state is consumed by each call.
 
-    ``witnesses`` are those in force and ``widening`` those asked for, by
+    ``witnesses`` are those in force and ``requested_witnesses`` those asked for, by
     stream. ``waiting`` gives the budget of each wanted run. ``closed`` ends it:
     the caller goes on as a new incarnation.
     """
@@ -89,7 +89,7 @@
     bills: dict[RunId, UnloggedBill]
     transfers: dict[GrantId, UnloggedTransfer]
     witnesses: dict[str, dict[Incarnation, None]]
-    widening: dict[str, dict[Incarnation, None]]
+    requested_witnesses: dict[str, dict[Incarnation, None]]
     closed_senders: dict[Incarnation, None]
     waiting: dict[RunId, str]
     known_transfers: dict[GrantId, None]
