--- a/libs/ledger/src/clementinebend_ledger/holder.py
+++ b/libs/ledger/src/clementinebend_ledger/holder.py
@@ -73,7 +73,7 @@
         return holder, NeedsGrant(amount)
     if run in holder.runs:
         return holder, Reserved(*holder.runs[run][1:3])
-    grant = _oldest_with_room(use, amount)
+    grant = _oldest_sufficient_grant(use, amount)
     if grant is None:
         use["wanted"][run] = amount
         holder.waiting[run] = budget
@@ -155,37 +155,49 @@
 
 
 def wait_hint(
-    holder: HolderState, budget: str, amount: int, now: float, can_ask: bool = True
+    holder: HolderState,
+    budget: str,
+    amount: int,
+    now: float,
+    can_request: bool = True,
 ) -> WaitHint:
     """Say whether to queue a run that found no grant, rather than refuse it.
 
     Worth it when a requested grant has room for it, or when the runs in
     progress will likely give enough back: near the end of a budget the upper
-    bounds, not the costs, are what fills it. Without ``can_ask`` (the log does
+    bounds, not the costs, are what fills it. Without ``can_request`` (the log does
     not answer) no grant comes and pieces cannot be exchanged for a larger one,
     so a single grant at hand must be enough.
     """
     use = holder.budgets.get(budget)
     if use is None or holder.closed:
         return WaitHint(False, 0.0)
-    if can_ask and any(asked >= amount for asked in use["requested"].values()):
+    if can_request and any(asked >= amount for asked in use["requested"].values()):
         return WaitHint(True, 0.0)
     runs = [run for run in holder.runs.values() if run.budget == budget]
-    room = _room_by_grant(use, runs).values()
-    most = sum(room) + max(0, use["spare"]) if can_ask else max(room, default=0.0)
-    if most < amount:
+    free_by_grant = _expected_free_by_grant(use, runs).values()
+    expected_free = (
+        sum(free_by_grant) + max(0, use["spare"])
+        if can_request
+        else max(free_by_grant, default=0.0)
+    )
+    if expected_free < amount:
         return WaitHint(False, 0.0)
     oldest = min((run.since for run in runs), default=now)
     return WaitHint(True, max(0.0, oldest + use["forecast"]["run_seconds"] - now))
 
 
-def _room_by_grant(use: BudgetUse, runs: Iterable[Reservation]) -> dict[GrantId, float]:
+def _expected_free_by_grant(
+    use: BudgetUse, runs: Iterable[Reservation]
+) -> dict[GrantId, float]:
     """Return what each grant will likely have free when the runs have ended."""
     share = 1.0 - use["forecast"]["cost_share"]
-    room = {grant: float(own["free"]) for grant, own in use["grants"].items()}
+    free_by_grant = {grant: float(own["free"]) for grant, own in use["grants"].items()}
     for run in runs:
-        room[run.grant] = room.get(run.grant, 0.0) + run.amount * share
-    return room
+        free_by_grant[run.grant] = (
+            free_by_grant.get(run.grant, 0.0) + run.amount * share
+        )
+    return free_by_grant
 
 
 def _stop_waiting(holder: HolderState, run: RunId) -> None:
@@ -194,6 +206,6 @@
         holder.budgets[budget]["wanted"].pop(run, None)
 
 
-def _oldest_with_room(use: BudgetUse, amount: int) -> GrantId | None:
+def _oldest_sufficient_grant(use: BudgetUse, amount: int) -> GrantId | None:
     grants = use["grants"].items()
     return next((name for name, own in grants if own["free"] >= amount), None)
--- a/tests/unit/ledger/test_holder.py
+++ b/tests/unit/ledger/test_holder.py
@@ -340,11 +340,11 @@
     holder = cancel(cancel(holder, RUN), RUN_2)
     assert free(holder) == [50, 100]
     assert wait_hint(holder, TEAM, 120, 0.0).worth_waiting
-    assert not wait_hint(holder, TEAM, 120, 0.0, can_ask=False).worth_waiting
+    assert not wait_hint(holder, TEAM, 120, 0.0, can_request=False).worth_waiting
     holder, _ = reserve(holder, TEAM, RUN_3, 200, 0.0)
     holder, _ = plan(holder, 0.0, 0.0)
     assert holder.budgets[TEAM]["requested"]
-    assert not wait_hint(holder, TEAM, 150, 0.0, can_ask=False).worth_waiting
+    assert not wait_hint(holder, TEAM, 150, 0.0, can_request=False).worth_waiting
 
 
 def test_resume_takes_what_the_checkpoint_shows() -> None:
