--- a/libs/ledger/src/clementinebend_ledger/holder.py
+++ b/libs/ledger/src/clementinebend_ledger/holder.py
@@ -1,8 +1,9 @@
-"""One entry's use of its own grants: reserve, settle, cancel, witnesses.
+"""An entry's use of its grants: reservations, settlement and witnesses.
 
-Pure and in memory. Reservations are made before dispatch and settled with the
-true cost, so what runs is always covered by a grant that replay accepted
-(escrow transactions, O'Neil 1986). ``now`` is monotonic seconds, for policy.
+In memory and without I/O. A run is reserved at its upper bound before dispatch
+and settled at its true cost, so every run is covered by a grant that replay
+accepted (escrow transactions, O'Neil 1986). ``now`` is monotonic time in seconds;
+it affects only policy, never correctness.
 """
 
 from collections.abc import Iterable
@@ -62,11 +63,11 @@
 def reserve(
     holder: HolderState, budget: str, run: RunId, amount: int, now: float
 ) -> tuple[HolderState, Reserved | NeedsGrant]:
-    """Set ``amount`` aside for a run, in the oldest grant that has room.
+    """Reserve ``amount`` tokens for a run in the oldest grant with enough free.
 
-    A run that has a reservation keeps it, whatever it asks for now. One that
-    finds no grant is remembered as wanted until it reserves or is
-    cancelled, and ``plan`` asks for a grant that has room for it.
+    A run that already has a reservation keeps it, whatever the amount. A run for
+    which no grant suffices is kept as wanted until it gets a reservation or is
+    cancelled, and ``plan`` requests a grant that is large enough for it.
     """
     use = budget_use(holder, budget, now)
     if holder.closed:
@@ -97,10 +98,10 @@
 ) -> tuple[HolderState, Bill | None]:
     """Bill a run and free the rest of its reservation.
 
-    The bill is kept until replay has it. ``held`` is for a run whose cost is
-    not known: give the whole reservation. Returns no bill for a run that is
-    not reserved, so a second settle has no effect. With ``now`` the forecast
-    learns how long runs take.
+    The bill is kept until it is read back from the log. For a run of unknown cost,
+    set ``held`` and pass the whole reservation as ``amount``. Without a reservation
+    there is no bill, so settling a run twice has no effect. With ``now``, the
+    run's duration is added to the forecast.
     """
     reservation = holder.runs.pop(run, None)
     if reservation is None:
@@ -117,7 +118,7 @@
 
 
 def cancel(holder: HolderState, run: RunId) -> HolderState:
-    """End a run that is proved not run: all of its reservation comes back."""
+    """Free the whole reservation of a run that is known not to have executed."""
     _stop_waiting(holder, run)
     reservation = holder.runs.pop(run, None)
     if reservation is not None:
@@ -134,9 +135,9 @@
     peers: tuple[Incarnation, ...] = (),
     stream: str = "",
 ) -> tuple[HolderState, tuple[Scope, ...]]:
-    """Return the scope records to append for witnesses not asked for yet.
+    """Return the scope records to append for witnesses not requested before.
 
-    A holder that covers several streams names the one it widens.
+    ``stream`` is the stream whose scope is widened, if the holder has several.
     """
     if holder.closed:
         return holder, ()
@@ -150,7 +151,7 @@
 
 
 def has_witness(holder: HolderState, stream: str, witness: Incarnation) -> bool:
-    """Return whether a witness may be used: its scope record was read back."""
+    """Return whether a witness can be used: its scope record has been read back."""
     return not holder.closed and witness in holder.witnesses.get(stream, {})
 
 
@@ -161,13 +162,13 @@
     now: float,
     can_request: bool = True,
 ) -> WaitHint:
-    """Say whether to queue a run that found no grant, rather than refuse it.
+    """Return whether to queue a run that found no grant, rather than refuse it.
 
-    Worth it when a requested grant has room for it, or when the runs in
-    progress will likely give enough back: near the end of a budget the upper
-    bounds, not the costs, are what fills it. Without ``can_request`` (the log does
-    not answer) no grant comes and pieces cannot be exchanged for a larger one,
-    so a single grant at hand must be enough.
+    Waiting is worthwhile if a requested grant is large enough, or if the runs in
+    progress will probably free enough: near the end of a budget, reserved upper
+    bounds take up most of it, not costs. Without ``can_request`` (the log does not
+    answer) there are no new grants, and smaller ones cannot be returned for a larger
+    one, so a single existing grant must suffice.
     """
     use = holder.budgets.get(budget)
     if use is None or holder.closed:
@@ -190,7 +191,7 @@
 def _expected_free_by_grant(
     use: BudgetUse, runs: Iterable[Reservation]
 ) -> dict[GrantId, float]:
-    """Return what each grant will likely have free when the runs have ended."""
+    """Estimate the free tokens of each grant once the runs have ended."""
     share = 1.0 - use["forecast"]["cost_share"]
     free_by_grant = {grant: float(own["free"]) for grant, own in use["grants"].items()}
     for run in runs:
