--- a/libs/ledger/src/clementinebend_ledger/holder_state.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_state.py
@@ -1,6 +1,6 @@
-"""What an entry knows of its own grants, reservations and bills.
+"""State of an entry as a holder: its grants, reservations and unlogged bills.
 
-Amounts are in tokens. ``free`` of a grant is neither reserved nor spent.
+Amounts are in tokens. ``free`` tokens of a grant are neither reserved nor spent.
 """
 
 from typing import NamedTuple, TypedDict
@@ -10,15 +10,18 @@
 from clementinebend_records.records import Bill, Transfer
 
 TRANSFER_WINDOW = 4_096
-"""Transfers that a holder knows as its own, to take each part once.
+"""Number of transfer ids that a holder remembers, to accept each transfer once.
 
-A message that comes after this many others answers no question of the entry
-any more, so the entry drops it.
+A message delayed beyond this many later transfers answers no open question of the
+entry any more, so the entry drops it.
 """
 
 
 class OwnGrant(TypedDict):
-    """A grant of this holder; ``busy`` counts its runs and unlogged bills."""
+    """A grant of this holder; ``busy`` counts its reserved runs and unlogged bills.
+
+    ``transferred`` is set if the grant was received from a peer.
+    """
 
     free: int
     busy: int
@@ -28,10 +31,12 @@
 class BudgetUse(TypedDict):
     """Use of one budget by this holder.
 
-    ``grants`` is oldest first; ``requested`` are grant requests whose outcome
-    is not read yet; ``wanted`` are runs that found no grant, with their need.
-    ``spare`` and ``holders`` are the budget's as last seen in replay, -1 if
-    never.
+    ``grants`` is oldest first. ``requested`` has the grant requests whose outcome
+    has not been read, ``wanted`` the runs without a grant, each with its amount.
+    ``billed``, ``left``, ``granted``, ``spare`` (the available amount) and
+    ``holders`` are the budget's accounts as last seen in replay; all but
+    ``granted`` are -1 before that. ``lacking`` is the largest amount that another
+    holder was refused for lack of tokens since the last plan.
     """
 
     grants: dict[GrantId, OwnGrant]
@@ -50,7 +55,7 @@
 
 
 class Reservation(NamedTuple):
-    """A run that may be executing, and what was set aside for it."""
+    """A run that may be executing; ``amount`` is reserved in ``grant``."""
 
     budget: str
     grant: GrantId
@@ -59,7 +64,7 @@
 
 
 class UnloggedBill(NamedTuple):
-    """A settled run whose bill has not been read back; sent once it is planned."""
+    """A bill that has not been read back; ``sent`` once ``plan`` returned it."""
 
     budget: str
     bill: Bill
@@ -67,18 +72,20 @@
 
 
 class UnloggedTransfer(NamedTuple):
-    """A part given or received whose record has not been read back."""
+    """A transfer sent or received whose record has not been read back."""
 
     record: Transfer
     sent: bool
 
 
 class HolderState(NamedTuple):
-    """One entry incarnation as a holder; state is consumed by each call.
+    """State of one entry incarnation as a holder.
 
-    ``witnesses`` are those in force and ``requested_witnesses`` those asked for, by
-    stream. ``waiting`` gives the budget of each wanted run. ``closed`` ends it:
-    the caller goes on as a new incarnation.
+    Functions update it in place and return the new state, so the argument must not
+    be used afterwards. By stream, ``requested_witnesses`` are those put into a scope
+    record and ``witnesses`` those whose record was read back. ``waiting`` maps each
+    wanted run to its budget. A closed holder gets no more grants: its entry continues
+    under a new incarnation.
     """
 
     incarnation: Incarnation
@@ -96,24 +103,24 @@
 
 
 class Reserved(NamedTuple):
-    """``amount`` of ``grant`` is set aside for the run."""
+    """``amount`` tokens of ``grant`` are reserved for the run."""
 
     grant: GrantId
     amount: int
 
 
 class NeedsGrant(NamedTuple):
-    """No grant has room: one more of ``short_by`` tokens would do.
+    """No grant has enough free tokens; one of ``short_by`` tokens would.
 
-    A run is paid from one grant, so this is the whole need whatever smaller
-    pieces are free.
+    A run is paid from a single grant, so this is always the full amount of the run,
+    whatever smaller amounts are free.
     """
 
     short_by: int
 
 
 class WaitHint(NamedTuple):
-    """Whether waiting will likely free enough, and in about how many seconds."""
+    """Whether waiting will probably help, and after about how many seconds."""
 
     worth_waiting: bool
     seconds: float
@@ -125,7 +132,7 @@
 
 
 def budget_use(holder: HolderState, budget: str, now: float = 0.0) -> BudgetUse:
-    """Return the holder's use of ``budget``, made if it is not there."""
+    """Return the holder's use of ``budget``, which is created if missing."""
     use = holder.budgets.get(budget)
     if use is None:
         use = BudgetUse(
@@ -148,12 +155,12 @@
 
 
 def free_tokens(use: BudgetUse) -> int:
-    """Return what is neither reserved nor spent, over all grants."""
+    """Return the total of free tokens over all grants."""
     return sum(grant["free"] for grant in use["grants"].values())
 
 
 def release_busy(use: BudgetUse, grant: GrantId, freed: int) -> None:
-    """End one run or bill of a grant, of which ``freed`` comes back."""
+    """End a run or an unlogged bill of a grant and free ``freed`` of its tokens."""
     own = use["grants"].get(grant)
     if own is None:
         return
@@ -163,7 +170,7 @@
 
 
 def forget_spent(use: BudgetUse, grant: GrantId) -> None:
-    """Forget a grant of which nothing is left."""
+    """Delete a grant that has no free tokens, runs or unlogged bills."""
     own = use["grants"][grant]
     if own["free"] <= 0 and not own["busy"]:
         del use["grants"][grant]
