--- a/libs/ledger/src/clementinebend_ledger/holder.py
+++ b/libs/ledger/src/clementinebend_ledger/holder.py
@@ -8,6 +8,7 @@
 
 from collections.abc import Iterable
 
+from clementinebend_ledger.holder_outcomes import on_outcome
 from clementinebend_ledger.holder_state import (
     BudgetUse,
     HolderState,
@@ -25,7 +26,6 @@
     refuse_sender,
     send_transfer,
 )
-from clementinebend_ledger.holding import on_outcome
 from clementinebend_ledger.planning import budget_seen, close_cleanly, plan
 from clementinebend_ledger.resuming import resume
 from clementinebend_ledger.sizing import observe_cost, observe_reservation
