--- a/libs/ledger/src/clementinebend_ledger/holder_outcomes.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_outcomes.py
@@ -32,15 +32,17 @@
 
     A holder that covers several streams passes the one the outcome is of.
     """
-    return _learn(outcome, holder, now, stream)
+    return _apply_outcome(outcome, holder, now, stream)
 
 
 @singledispatch
-def _learn(outcome: Any, holder: HolderState, now: float, stream: str) -> HolderState:
+def _apply_outcome(
+    outcome: Any, holder: HolderState, now: float, stream: str
+) -> HolderState:
     return holder
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: GrantAccepted, holder: HolderState, now: float, stream: str
 ) -> HolderState:
@@ -55,12 +57,12 @@
     return holder
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: GrantRefused, holder: HolderState, now: float, stream: str
 ) -> HolderState:
     if outcome.holder != holder.incarnation:
-        return _hear_call(holder, outcome)
+        return _record_peer_refusal(holder, outcome)
     use = budget_use(holder, outcome.budget, now)
     asked = use["requested"].pop(outcome.grant, None)
     if asked is None:
@@ -71,36 +73,36 @@
     return holder
 
 
-@_learn.register
+@_apply_outcome.register
 def _(outcome: Billed, holder: HolderState, now: float, stream: str) -> HolderState:
-    return _on_bill(holder, outcome.bill, 0)
+    return _on_logged_bill(holder, outcome.bill, 0)
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: BillUnfunded, holder: HolderState, now: float, stream: str
 ) -> HolderState:
-    return _on_bill(holder, outcome.bill, 0)
+    return _on_logged_bill(holder, outcome.bill, 0)
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: BillRepeated, holder: HolderState, now: float, stream: str
 ) -> HolderState:
     """Take back what another run of the key has paid already."""
     bill = outcome.bill
     freed = 0 if outcome.billed_run == bill.run else bill.amount
-    return _on_bill(holder, bill, freed)
+    return _on_logged_bill(holder, bill, freed)
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: TransferApplied, holder: HolderState, now: float, stream: str
 ) -> HolderState:
     """Note a part as logged; take one whose message was lost."""
     holder.transfers.pop(outcome.transfer, None)
-    mine = outcome.receiver == holder.incarnation and not holder.closed
-    if mine and outcome.transfer not in holder.known_transfers:
+    is_receiver = outcome.receiver == holder.incarnation and not holder.closed
+    if is_receiver and outcome.transfer not in holder.known_transfers:
         remember_transfer(holder, outcome.transfer)
         add_grant(
             holder, outcome.budget, outcome.transfer, outcome.amount, transferred=True
@@ -108,7 +110,7 @@
     return holder
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: HolderClosed, holder: HolderState, now: float, stream: str
 ) -> HolderState:
@@ -117,7 +119,7 @@
     return holder._replace(closed=closed)
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: ScopeWidened, holder: HolderState, now: float, stream: str
 ) -> HolderState:
@@ -128,7 +130,7 @@
     return holder
 
 
-def _hear_call(holder: HolderState, outcome: GrantRefused) -> HolderState:
+def _record_peer_refusal(holder: HolderState, outcome: GrantRefused) -> HolderState:
     """Note what another holder lacks: ``plan`` gives a part back."""
     use = holder.budgets.get(outcome.budget)
     if use is not None and outcome.reason == RefusalReason.INSUFFICIENT:
@@ -136,7 +138,7 @@
     return holder
 
 
-def _on_bill(holder: HolderState, bill: Bill, freed: int) -> HolderState:
+def _on_logged_bill(holder: HolderState, bill: Bill, freed: int) -> HolderState:
     """Forget a logged bill; another witness may have logged it first."""
     unlogged = holder.bills.pop(bill.run, None)
     if unlogged is not None:
