--- a/libs/ledger/src/clementinebend_ledger/holder_outcomes.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_outcomes.py
@@ -1,4 +1,4 @@
-"""What a holder learns from replay: one function per outcome."""
+"""How outcomes of replay change a holder, with one handler per outcome type."""
 
 from functools import singledispatch
 from typing import Any
@@ -28,9 +28,9 @@
 def on_outcome(
     holder: HolderState, outcome: LedgerOutcome, now: float, stream: str = ""
 ) -> HolderState:
-    """Learn from an outcome of replay, of this holder's records or others'.
+    """Apply an outcome of replay, of a record of this holder or of another.
 
-    A holder that covers several streams passes the one the outcome is of.
+    ``stream`` is the stream of the outcome, if the holder has several.
     """
     return _apply_outcome(outcome, holder, now, stream)
 
@@ -89,7 +89,7 @@
 def _(
     outcome: BillRepeated, holder: HolderState, now: float, stream: str
 ) -> HolderState:
-    """Take back what another run of the key has paid already."""
+    """Free the tokens of a bill if another run of the key was billed before."""
     bill = outcome.bill
     freed = 0 if outcome.billed_run == bill.run else bill.amount
     return _on_logged_bill(holder, bill, freed)
@@ -99,7 +99,7 @@
 def _(
     outcome: TransferApplied, holder: HolderState, now: float, stream: str
 ) -> HolderState:
-    """Note a part as logged; take one whose message was lost."""
+    """Mark a transfer as logged; as its receiver, add it if the message was lost."""
     holder.transfers.pop(outcome.transfer, None)
     is_receiver = outcome.receiver == holder.incarnation and not holder.closed
     if is_receiver and outcome.transfer not in holder.known_transfers:
@@ -131,7 +131,7 @@
 
 
 def _record_peer_refusal(holder: HolderState, outcome: GrantRefused) -> HolderState:
-    """Note what another holder lacks: ``plan`` gives a part back."""
+    """Record what another holder was refused, so that ``plan`` returns tokens."""
     use = holder.budgets.get(outcome.budget)
     if use is not None and outcome.reason == RefusalReason.INSUFFICIENT:
         use["lacking"] = max(use["lacking"], outcome.amount - outcome.available)
@@ -139,7 +139,10 @@
 
 
 def _on_logged_bill(holder: HolderState, bill: Bill, freed: int) -> HolderState:
-    """Forget a logged bill; another witness may have logged it first."""
+    """Drop a bill read back from the log, which another witness may have logged.
+
+    In that case the run may still have a reservation, which ends here.
+    """
     unlogged = holder.bills.pop(bill.run, None)
     if unlogged is not None:
         release_busy(holder.budgets[unlogged.budget], bill.grant, freed)
