--- a/libs/ledger/src/clementinebend_ledger/outcomes.py
+++ b/libs/ledger/src/clementinebend_ledger/outcomes.py
@@ -1,7 +1,7 @@
-"""What replay of a ledger stream reports for each record.
+"""Outcomes that replay of a ledger stream reports for each record.
 
-Outcomes are values: a refused or repeated record is normal. Amounts are in
-tokens.
+Outcomes are values rather than exceptions, since refused and repeated records are
+part of normal operation. Amounts are in tokens.
 """
 
 from enum import StrEnum
@@ -21,7 +21,7 @@
 
 
 class TopUpApplied(NamedTuple):
-    """A budget has ``amount`` tokens more."""
+    """``amount`` tokens were added to a budget."""
 
     budget: str
     top_up: str
@@ -38,7 +38,7 @@
 
 
 class GrantRefused(NamedTuple):
-    """The request did not fit; ``available`` is what would have."""
+    """The request for ``amount`` was refused; ``available`` tokens were left."""
 
     budget: str
     grant: GrantId
@@ -49,13 +49,13 @@
 
 
 class Billed(NamedTuple):
-    """A request key is billed, for the first time."""
+    """A request key was billed for the first time."""
 
     bill: Bill
 
 
 class BillRepeated(NamedTuple):
-    """The key was billed already, for ``billed_run``: nothing changed."""
+    """The key was already billed, for ``billed_run``; nothing changed."""
 
     bill: Bill
     billed_run: RunId
@@ -64,8 +64,8 @@
 class BillUnfunded(NamedTuple):
     """No open grant or hold covered ``unfunded`` tokens of a billed key.
 
-    They were taken from the budget's available amount as far as it went;
-    ``shortfall`` is the budget's total that still waits for tokens.
+    They were taken from the budget's available amount as far as that sufficed.
+    ``shortfall`` is the budget's total that is not covered yet.
     """
 
     bill: Bill
@@ -74,9 +74,10 @@
 
 
 class OverrunDetected(NamedTuple):
-    """A bill or transfer was ``excess`` above what remained of its grant.
+    """A bill or transfer exceeded the remainder of its grant by ``excess``.
 
-    A broken invariant of whoever wrote it; the budget is still not overspent.
+    The writer of the record violated an invariant; the budget is not overspent even
+    then.
     """
 
     budget: str
@@ -85,7 +86,7 @@
 
 
 class GrantReduced(NamedTuple):
-    """A holder gave back ``amount`` of a grant."""
+    """A holder returned ``amount`` tokens of a grant."""
 
     budget: str
     grant: GrantId
@@ -94,7 +95,7 @@
 
 
 class TransferApplied(NamedTuple):
-    """A part of ``grant`` is now the receiver's own grant ``transfer``."""
+    """``amount`` tokens of ``grant`` became the receiver's grant ``transfer``."""
 
     budget: str
     transfer: GrantId
@@ -105,13 +106,13 @@
 
 
 class HolderClosed(NamedTuple):
-    """Nothing more is taken from ``holder`` but bills."""
+    """``holder`` is closed: only its bills and transfers are still accepted."""
 
     holder: Incarnation
 
 
 class WitnessAcknowledged(NamedTuple):
-    """A witness refuses ``holder`` for ever."""
+    """A witness rejects ``holder`` permanently, or was ``lost`` with its memory."""
 
     holder: Incarnation
     witness: Incarnation
@@ -119,7 +120,7 @@
 
 
 class HolderReleased(NamedTuple):
-    """The remainder of a closed holder: ``freed`` to budgets, or ``held``."""
+    """The remainder of a closed holder's grants was ``freed``, or else ``held``."""
 
     holder: Incarnation
     freed: int
@@ -127,7 +128,7 @@
 
 
 class HoldResolved(NamedTuple):
-    """``charge`` of a hold is billed, by an operator or on evidence."""
+    """A hold ended by an operator or a bill of known cost; ``charge`` was billed."""
 
     budget: str
     subject: str
@@ -136,7 +137,7 @@
 
 
 class ScopeWidened(NamedTuple):
-    """These witnesses are in force for ``holder`` from now on."""
+    """Witnesses were added to the scope of ``holder``."""
 
     holder: Incarnation
     sidecars: tuple[Incarnation, ...]
