--- a/libs/ledger/src/clementinebend_ledger/planning.py
+++ b/libs/ledger/src/clementinebend_ledger/planning.py
@@ -41,7 +41,7 @@
 
     A closed holder still logs its transfers and bills.
     """
-    records = _evidence(holder)
+    records = _unsent_records(holder)
     if holder.closed:
         return holder, {name: tuple(rows) for name, rows in records.items()}
     for budget in holder.budgets:
@@ -83,7 +83,7 @@
     return holder
 
 
-def _evidence(holder: HolderState) -> dict[str, list[Record]]:
+def _unsent_records(holder: HolderState) -> dict[str, list[Record]]:
     """Return transfers and bills not sent yet, and mark them as sent."""
     records: dict[str, list[Record]] = {}
     for transfer, part in holder.transfers.items():
@@ -109,7 +109,7 @@
     holder: HolderState, budget: str, now: float, log_delay: float
 ) -> tuple[HolderState, list[Record]]:
     use = holder.budgets[budget]
-    goal = target(
+    target_amount = target(
         use["forecast"],
         Accounts(tokens_per_second(use["fleet"], now), use["left"], use["holders"]),
         now,
@@ -120,13 +120,13 @@
         spare = free_tokens(use) - sum(use["wanted"].values())
         called = called_back(max(0, spare), use["lacking"], use["granted"])
         use["lacking"] = 0
-        surplus = max(called, spare - int(goal * SURPLUS_FACTOR))
-        returns = _returns(holder, budget, _parts(use, surplus))
+        surplus = max(called, spare - int(target_amount * SURPLUS_FACTOR))
+        returns = _returns(holder, budget, _split_over_grants(use, surplus))
         if returns:
             return holder, returns
     if any(use["requested"].values()) or now < use["retry_at"]:
         return holder, []
-    return _request(holder, budget, need, goal)
+    return _request(holder, budget, need, target_amount)
 
 
 def _unmet_need(use: BudgetUse) -> int:
@@ -137,7 +137,7 @@
 
 
 def _request(
-    holder: HolderState, budget: str, need: int, goal: int
+    holder: HolderState, budget: str, need: int, target_amount: int
 ) -> tuple[HolderState, list[Record]]:
     """Ask for the need, and for as much of the goal as the budget allows.
 
@@ -146,30 +146,30 @@
     """
     use = holder.budgets[budget]
     seen = use["spare"] >= 0
-    pieces = _fragments(use) if need and seen else {}
-    limit = use["spare"] + sum(pieces.values())
-    fitted = _fitting_need(use, limit) if need and seen else need
-    amount = max(fitted, _refill(use, goal))
+    undersized = _undersized_grants(use) if need and seen else {}
+    limit = use["spare"] + sum(undersized.values())
+    affordable_need = _need_within_limit(use, limit) if need and seen else need
+    amount = max(affordable_need, _refill_amount(use, target_amount))
     if amount <= 0:
         return holder, []
-    parts = pieces if fitted > use["spare"] else {}
+    parts = undersized if affordable_need > use["spare"] else {}
     returns = _returns(holder, budget, parts)
     holder, request = _new_request(holder, budget, amount)
     return holder, [*returns, request]
 
 
-def _refill(use: BudgetUse, goal: int) -> int:
+def _refill_amount(use: BudgetUse, target_amount: int) -> int:
     """Return what to ask for ahead of need, below ``REFILL_SHARE`` of the goal."""
     free = free_tokens(use)
-    if free >= goal * REFILL_SHARE:
+    if free >= target_amount * REFILL_SHARE:
         return 0
-    lacking = goal - free
+    lacking = target_amount - free
     if use["spare"] < 0:
         return lacking
     return min(lacking, share_of_available(use["spare"], use["holders"]))
 
 
-def _fitting_need(use: BudgetUse, limit: int) -> int:
+def _need_within_limit(use: BudgetUse, limit: int) -> int:
     """Return the need of as many waiting runs, oldest first, as fit.
 
     If none fits, the smallest need: asked again after each backoff, since the
@@ -182,14 +182,14 @@
     return total or min(use["wanted"].values())
 
 
-def _fragments(use: BudgetUse) -> dict[GrantId, int]:
+def _undersized_grants(use: BudgetUse) -> dict[GrantId, int]:
     """Return free pieces that no waiting run fits into."""
     smallest = min(use["wanted"].values())
     grants = use["grants"].items()
     return {name: own["free"] for name, own in grants if 0 < own["free"] < smallest}
 
 
-def _parts(use: BudgetUse, surplus: int) -> dict[GrantId, int]:
+def _split_over_grants(use: BudgetUse, surplus: int) -> dict[GrantId, int]:
     """Split a surplus over grants, the oldest first."""
     parts: dict[GrantId, int] = {}
     for name, own in use["grants"].items():
