--- a/libs/bench/src/clementinebend_bench/models/budget_arms.py
+++ b/libs/bench/src/clementinebend_bench/models/budget_arms.py
@@ -12,9 +12,9 @@
 from clementinebend_ledger.holder import (
     HolderState,
     Reserved,
-    budget_seen,
     cancel,
     empty_holder,
+    observe_budget,
     on_outcome,
     plan,
     reserve,
@@ -279,7 +279,7 @@
         entry.seen.update(news.summaries)
         for budget, summary in news.summaries.items():
             if budget in entry.holder.budgets:
-                entry.holder = budget_seen(entry.holder, budget, summary, now)
+                entry.holder = observe_budget(entry.holder, budget, summary, now)
         self.advance(entry, now)
 
     def note_own(self, entry: GrantEntry, outcome: object, now: float) -> None:
--- a/libs/bench/src/clementinebend_bench/slopes/pure.py
+++ b/libs/bench/src/clementinebend_bench/slopes/pure.py
@@ -32,9 +32,9 @@
 from clementinebend_declarations.state import ConfigurationState
 from clementinebend_entry.lookup import directory_of, find_budget
 from clementinebend_ledger.holder import (
-    budget_seen,
     cancel,
     empty_holder,
+    observe_budget,
     on_outcome,
     plan,
     reserve,
@@ -251,7 +251,7 @@
     for number in range(budgets):
         name, run = budget_name(number), RunId(f"{number:024}")
         holder, _ = reserve(holder, name, run, BILL_TOKENS, 0.0)
-        holder = budget_seen(holder, name, budget_summary(ledger, name))
+        holder = observe_budget(holder, name, budget_summary(ledger, name))
     holder, records = plan(holder, 0.0, LOG_DELAY)
     asked = (row for rows in records.values() for row in rows)
     for row in asked:
--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -43,8 +43,8 @@
 from clementinebend_ledger.holder import (
     HolderState,
     Reserved,
-    budget_seen,
     has_witness,
+    observe_budget,
     receive_transfer,
     reserve,
     settle,
@@ -264,7 +264,7 @@
         now = self.loop.time()
         for budget in self.holder.budgets.keys() & set(budgets):
             summary = budget_summary(self.shards.of_budget(budget).state, budget)
-            self.holder = budget_seen(self.holder, budget, summary, now)
+            self.holder = observe_budget(self.holder, budget, summary, now)
 
     def post_foreign(self, receipt: Receipt) -> None:
         """Bill a run that another entry's holder reserved for."""
--- a/libs/ledger/src/clementinebend_ledger/holder.py
+++ b/libs/ledger/src/clementinebend_ledger/holder.py
@@ -26,7 +26,7 @@
     refuse_sender,
     send_transfer,
 )
-from clementinebend_ledger.planning import budget_seen, close_cleanly, plan
+from clementinebend_ledger.planning import close_cleanly, observe_budget, plan
 from clementinebend_ledger.resuming import resume
 from clementinebend_ledger.sizing import observe_cost, observe_reservation
 from clementinebend_records.identifiers import (
@@ -42,7 +42,7 @@
     "NeedsGrant",
     "Reserved",
     "WaitHint",
-    "budget_seen",
+    "observe_budget",
     "cancel",
     "close_cleanly",
     "empty_holder",
--- a/libs/ledger/src/clementinebend_ledger/planning.py
+++ b/libs/ledger/src/clementinebend_ledger/planning.py
@@ -66,7 +66,7 @@
     return holder._replace(closed=True), (*transfers, *settles, close)
 
 
-def budget_seen(
+def observe_budget(
     holder: HolderState, budget: str, summary: BudgetSummary, now: float = 0.0
 ) -> HolderState:
     """Learn a budget's accounts as replay has them now."""
--- a/tests/unit/ledger/fuzz_entry.py
+++ b/tests/unit/ledger/fuzz_entry.py
@@ -5,11 +5,11 @@
 from itertools import groupby
 
 from clementinebend_ledger.holder import (
-    budget_seen,
     cancel,
     close_cleanly,
     empty_holder,
     has_witness,
+    observe_budget,
     on_outcome,
     plan,
     receive_transfer,
@@ -96,7 +96,7 @@
         self._drop_read_back()
         for budget in self.holder.budgets:
             summary = budget_summary(self.state, budget)
-            self.holder = budget_seen(self.holder, budget, summary)
+            self.holder = observe_budget(self.holder, budget, summary)
 
     def plan(self, log_delay: float) -> None:
         """Queue what the holder plans, time moving on."""
--- a/tests/unit/ledger/test_holder.py
+++ b/tests/unit/ledger/test_holder.py
@@ -5,11 +5,11 @@
 from clementinebend_ledger.bounds import upper_bound
 from clementinebend_ledger.holder import (
     HolderState,
-    budget_seen,
     cancel,
     close_cleanly,
     empty_holder,
     has_witness,
+    observe_budget,
     on_outcome,
     plan,
     reserve,
@@ -185,7 +185,7 @@
     script = Script(top_up(50))
     holder, _ = reserve(empty_holder(ALICE), TEAM, RUN, 60, 0.0)
     holder, _ = pump(holder, script)
-    holder = budget_seen(holder, TEAM, BudgetSummary(90, 0, 0, 0, 90))
+    holder = observe_budget(holder, TEAM, BudgetSummary(90, 0, 0, 0, 90))
     _, records = pump(holder, script, now=0.01)
     assert [record.amount for record in records] == [60]  # type: ignore[union-attr]
 
@@ -193,7 +193,7 @@
 def test_free_pieces_go_back_ahead_of_a_request_that_needs_them() -> None:
     holder, script = holding(30, budget=60)
     holder, _ = reserve(holder, TEAM, RUN, 50, 0.0)
-    holder = budget_seen(holder, TEAM, BudgetSummary(60, 0, 0, 30, 30, 0, 1))
+    holder = observe_budget(holder, TEAM, BudgetSummary(60, 0, 0, 30, 30, 0, 1))
     holder, records = pump(holder, script)
     assert [type(record) for record in records] == [GrantReturn, GrantRequest]
     assert isinstance(reserve(holder, TEAM, RUN, 50, 0.0)[1], Reserved)
@@ -207,7 +207,7 @@
             run = RunId(f"x{index}")
             holder, _ = reserve(holder, TEAM, run, 10, 0.0)
             holder, _ = settle(holder, run, RequestKey(run), 10)
-        holder = budget_seen(holder, TEAM, BudgetSummary(0, 0, 0, 0, spare, 0, 2))
+        holder = observe_budget(holder, TEAM, BudgetSummary(0, 0, 0, 0, spare, 0, 2))
         _, rows = plan(holder, 0.0, 10.0)
         asked = [r.amount for r in rows[TEAM] if isinstance(r, GrantRequest)]
         amounts.append(sum(asked))
@@ -218,13 +218,15 @@
     wishes = []
     for fleet_spending in (100, 200, 400):
         holder, _ = holding(100, budget=100_000)
-        holder = budget_seen(holder, TEAM, BudgetSummary(0, 0, 0, 0, 1_000, 0, 1), 0.0)
+        holder = observe_budget(
+            holder, TEAM, BudgetSummary(0, 0, 0, 0, 1_000, 0, 1), 0.0
+        )
         for index in range(10):
             run = RunId(f"x{index}")
             holder, _ = reserve(holder, TEAM, run, 10, 0.0)
             holder, _ = settle(holder, run, RequestKey(run), 10)
         spent = BudgetSummary(0, fleet_spending, 0, 0, 1_000, 0, 1)
-        holder = budget_seen(holder, TEAM, spent, 0.0)
+        holder = observe_budget(holder, TEAM, spent, 0.0)
         _, rows = plan(holder, 0.0, 0.1)
         asked = [r.amount for r in rows[TEAM] if isinstance(r, GrantRequest)]
         wishes.append(sum(asked))
@@ -234,7 +236,7 @@
 def test_holder_gives_back_a_part_when_another_is_refused() -> None:
     holder, script = holding(80, budget=100)
     holder, _ = reserve(holder, TEAM, RUN, 10, 0.0)
-    holder = budget_seen(holder, TEAM, BudgetSummary(100, 0, 0, 80, 20, 0, 1))
+    holder = observe_budget(holder, TEAM, BudgetSummary(100, 0, 0, 80, 20, 0, 1))
     refused = script.add(request(30, "other", BOB))
     for outcome in refused:
         holder = on_outcome(holder, outcome, 0.0)
