--- a/libs/ledger/src/clementinebend_ledger/planning.py
+++ b/libs/ledger/src/clementinebend_ledger/planning.py
@@ -1,8 +1,9 @@
-"""What a holder appends next: transfers, bills, returns and grant requests.
+"""The records that a holder appends: transfers, bills, returns, grant requests.
 
-Order within a batch matters: a transfer goes before bills under it, returns
-before the request that may need them. Nothing is repeated while its outcome
-is unread, since the stream's writer appends a batch until it is read back.
+Order within a batch matters: a transfer precedes the bills paid from it, and
+returns precede the request that may need the returned tokens. No record is planned
+twice while its outcome is unread, since the stream's writer retries a batch until
+it is read back.
 """
 
 from clementinebend_ledger.holder_state import (
@@ -37,9 +38,10 @@
 def plan(
     holder: HolderState, now: float, log_delay: float
 ) -> tuple[HolderState, dict[str, tuple[Record, ...]]]:
-    """Return the records to append now, by budget; ``log_delay`` in seconds.
+    """Return the records to append now, by budget.
 
-    A closed holder still logs its transfers and bills.
+    ``log_delay`` is the current delay of the log in seconds. A closed holder still
+    logs its transfers and bills.
     """
     records = _unsent_records(holder)
     if holder.closed:
@@ -52,10 +54,10 @@
 
 
 def close_cleanly(holder: HolderState) -> tuple[HolderState, tuple[Record, ...]]:
-    """Return the last records of a planned stop, to append as one batch.
+    """Close the holder; return its last records, to append as one batch.
 
-    Raises ``RuntimeError`` while a run is reserved: a clean close vouches that
-    nothing is in flight.
+    Raises ``RuntimeError`` while a run is reserved: a clean close guarantees that no
+    run is in progress.
     """
     if holder.runs:
         raise RuntimeError("a holder with reserved runs cannot close cleanly")
@@ -69,7 +71,10 @@
 def observe_budget(
     holder: HolderState, budget: str, summary: BudgetSummary, now: float = 0.0
 ) -> HolderState:
-    """Learn a budget's accounts as replay has them now."""
+    """Update the holder with the current accounts of a budget.
+
+    A higher available amount ends the backoff after refusals.
+    """
     use = budget_use(holder, budget)
     if use["billed"] >= 0:
         observe(use["fleet"], summary.billed - use["billed"], now)
@@ -84,7 +89,7 @@
 
 
 def _unsent_records(holder: HolderState) -> dict[str, list[Record]]:
-    """Return transfers and bills not sent yet, and mark them as sent."""
+    """Return the transfers and bills not planned before, and mark them as sent."""
     records: dict[str, list[Record]] = {}
     for transfer, part in holder.transfers.items():
         if not part.sent:
@@ -130,7 +135,7 @@
 
 
 def _unmet_need(use: BudgetUse) -> int:
-    """Return the need of all waiting runs, 0 if the largest grant has room."""
+    """Return the total that waiting runs need, or 0 if one grant covers it."""
     frees = (own["free"] for own in use["grants"].values())
     waiting = sum(use["wanted"].values())
     return waiting if waiting > max(frees, default=0) else 0
@@ -139,10 +144,10 @@
 def _request(
     holder: HolderState, budget: str, need: int, target_amount: int
 ) -> tuple[HolderState, list[Record]]:
-    """Ask for the need, and for as much of the goal as the budget allows.
+    """Request the needed amount, or a refill up to the target if that is more.
 
-    Where the budget alone does not cover the need, free pieces too small for
-    any waiting run go back in the same batch, ahead of the request.
+    If the available amount does not cover the need, free amounts that are too small
+    for any waiting run are returned in the same batch, ahead of the request.
     """
     use = holder.budgets[budget]
     seen = use["spare"] >= 0
@@ -159,7 +164,10 @@
 
 
 def _refill_amount(use: BudgetUse, target_amount: int) -> int:
-    """Return what to ask for ahead of need, below ``REFILL_SHARE`` of the goal."""
+    """Return the tokens to request ahead of need.
+
+    There is no refill while the free tokens are ``REFILL_SHARE`` of the target.
+    """
     free = free_tokens(use)
     if free >= target_amount * REFILL_SHARE:
         return 0
@@ -170,10 +178,10 @@
 
 
 def _need_within_limit(use: BudgetUse, limit: int) -> int:
-    """Return the need of as many waiting runs, oldest first, as fit.
+    """Return the total need of the waiting runs that fit, tried oldest first.
 
-    If none fits, the smallest need: asked again after each backoff, since the
-    budget may have more than was last seen.
+    If none fits, return the smallest need: it is requested after each backoff, since
+    the budget may have more than was last seen.
     """
     total = 0
     for amount in use["wanted"].values():
@@ -183,14 +191,14 @@
 
 
 def _undersized_grants(use: BudgetUse) -> dict[GrantId, int]:
-    """Return free pieces that no waiting run fits into."""
+    """Return the free amounts that are too small for any waiting run, by grant."""
     smallest = min(use["wanted"].values())
     grants = use["grants"].items()
     return {name: own["free"] for name, own in grants if 0 < own["free"] < smallest}
 
 
 def _split_over_grants(use: BudgetUse, surplus: int) -> dict[GrantId, int]:
-    """Split a surplus over grants, the oldest first."""
+    """Split a surplus over the free tokens of the grants, oldest first."""
     parts: dict[GrantId, int] = {}
     for name, own in use["grants"].items():
         part = min(surplus, own["free"])
@@ -203,7 +211,7 @@
 def _returns(
     holder: HolderState, budget: str, parts: dict[GrantId, int]
 ) -> list[Record]:
-    """Subtract the parts at once, then tell the log."""
+    """Deduct the amounts at once and return the records that log it."""
     use = holder.budgets[budget]
     for name, part in parts.items():
         use["grants"][name]["free"] -= part
