--- a/libs/ledger/src/clementinebend_ledger/replay.py
+++ b/libs/ledger/src/clementinebend_ledger/replay.py
@@ -78,7 +78,7 @@
     next_state = state._replace(offset=offset)
     if batch.sequence <= state.sequences.get(batch.writer, 0):
         return next_state, (Ignored("batch repeated"),)
-    _note_writer(next_state, batch.writer, batch.sequence)
+    _record_sequence(next_state, batch.writer, batch.sequence)
     outcomes = [apply(record, next_state) for record in batch.records]
     return next_state, tuple(chain.from_iterable(outcomes))
 
@@ -109,11 +109,11 @@
 def _(record: GrantRequest, state: LedgerState) -> tuple[LedgerOutcome, ...]:
     budget, holder, grant, amount = record
     entry = state.budgets.get(budget)
-    spare = available(entry) if entry else 0
-    reason = _refusal(state, record, spare)
+    available_amount = available(entry) if entry else 0
+    reason = _refusal_reason(state, record, available_amount)
     if entry is None or reason is not None:
         refused = reason or RefusalReason.INSUFFICIENT
-        return (GrantRefused(budget, grant, holder, refused, spare, amount),)
+        return (GrantRefused(budget, grant, holder, refused, available_amount, amount),)
     holder_entry(state, holder)
     entry["granted"] += amount
     state.grants[grant] = GrantEntry(
@@ -149,10 +149,10 @@
 @apply.register
 def _(record: HoldResolve, state: LedgerState) -> tuple[LedgerOutcome, ...]:
     entry = state.budgets.get(record.budget)
-    doubt = in_doubt(entry, record.subject) if entry else 0
-    if entry is None or not doubt:
+    uncertain = in_doubt(entry, record.subject) if entry else 0
+    if entry is None or not uncertain:
         return (Ignored("nothing is held for the subject"),)
-    if not 0 <= record.charge <= doubt:
+    if not 0 <= record.charge <= uncertain:
         return (Ignored("charge is not within the hold"),)
     _, freed = end_hold(entry, record.subject, record.charge)
     pay_shortfall(entry)
@@ -179,8 +179,8 @@
     return apply_transfer(state, record)
 
 
-def _refusal(
-    state: LedgerState, record: GrantRequest, spare: int
+def _refusal_reason(
+    state: LedgerState, record: GrantRequest, available_amount: int
 ) -> RefusalReason | None:
     if is_closed(state, record.holder):
         return RefusalReason.HOLDER_CLOSED
@@ -188,10 +188,10 @@
         return RefusalReason.GRANT_REPEATED
     if record.amount <= 0:
         return RefusalReason.BAD_AMOUNT
-    return RefusalReason.INSUFFICIENT if record.amount > spare else None
+    return RefusalReason.INSUFFICIENT if record.amount > available_amount else None
 
 
-def _note_writer(state: LedgerState, writer: Incarnation, sequence: int) -> None:
+def _record_sequence(state: LedgerState, writer: Incarnation, sequence: int) -> None:
     """Remember a writer's last sequence, the latest writers last."""
     sequences = state.sequences
     sequences.pop(writer, None)
