--- a/libs/ledger/src/clementinebend_ledger/replay.py
+++ b/libs/ledger/src/clementinebend_ledger/replay.py
@@ -1,7 +1,8 @@
-"""Replay of one ledger stream: what each record does to the accounts.
+"""Replay of a ledger stream, with one handler per record type.
 
-State is consumed: replay updates it in place and hands it back. Replay is
-total and deterministic, so all readers agree at every offset.
+Replay updates the state in place and returns it, so the argument must not be used
+afterwards. It is deterministic and accepts every record, so all readers have the
+same state at each offset.
 """
 
 from functools import singledispatch
@@ -72,7 +73,7 @@
 def replay(
     state: LedgerState, offset: int, batch: Batch
 ) -> tuple[LedgerState, tuple[LedgerOutcome, ...]]:
-    """Apply the batch at ``offset``; one that was applied already is dropped."""
+    """Apply the batch at ``offset``; a batch that was already applied is ignored."""
     if offset <= state.offset:
         return state, (Ignored("offset already replayed"),)
     next_state = state._replace(offset=offset)
@@ -85,7 +86,7 @@
 
 @singledispatch
 def apply(record: Any, state: LedgerState) -> tuple[LedgerOutcome, ...]:
-    """Apply one record; those of other streams have no effect."""
+    """Apply one record; records that belong to other streams have no effect."""
     return (Ignored(f"{type(record).__name__} changes no ledger"),)
 
 
@@ -192,7 +193,10 @@
 
 
 def _record_sequence(state: LedgerState, writer: Incarnation, sequence: int) -> None:
-    """Remember a writer's last sequence, the latest writers last."""
+    """Store the last sequence of a writer, with the most recent writer last.
+
+    Above ``WRITER_WINDOW`` the oldest writer that is not a holder is evicted.
+    """
     sequences = state.sequences
     sequences.pop(writer, None)
     sequences[writer] = sequence
