--- a/libs/ledger/src/clementinebend_ledger/resuming.py
+++ b/libs/ledger/src/clementinebend_ledger/resuming.py
@@ -15,15 +15,15 @@
     """
     entry = state.holders.get(holder.incarnation)
     scoped = bool(holder.witnesses.get(stream))
-    gone = scoped if entry is None else entry["closed"]
-    if gone or holder.incarnation in state.released:
+    is_gone = scoped if entry is None else entry["closed"]
+    if is_gone or holder.incarnation in state.released:
         return holder._replace(closed=True)
     if entry is not None:
         witnesses = entry["sidecars"] | entry["peers"]
         holder.witnesses[stream] = dict.fromkeys(witnesses)
     for budget, use in holder.budgets.items():
         _resume_requests(holder, state, budget, use)
-    _adopt_parts(holder, state)
+    _restore_transfers(holder, state)
     for run in list(holder.bills):
         _resume_bill(holder, state, run)
     logged = [name for name in holder.transfers if name in state.grants]
@@ -48,11 +48,11 @@
         add_grant(holder, budget, name, _remainder(state, name), transferred=False)
 
 
-def _adopt_parts(holder: HolderState, state: LedgerState) -> None:
+def _restore_transfers(holder: HolderState, state: LedgerState) -> None:
     """Take parts whose message and record this holder both missed."""
     for name, grant in state.grants.items():
-        mine = grant["transferred"] and grant["holder"] == holder.incarnation
-        if mine and name not in holder.known_transfers:
+        is_receiver = grant["transferred"] and grant["holder"] == holder.incarnation
+        if is_receiver and name not in holder.known_transfers:
             remember_transfer(holder, name)
             add_grant(
                 holder, grant["budget"], name, grant["remainder"], transferred=True
