--- a/libs/ledger/src/clementinebend_ledger/resuming.py
+++ b/libs/ledger/src/clementinebend_ledger/resuming.py
@@ -1,4 +1,4 @@
-"""How a holder catches up from a checkpoint, past outcomes it never read."""
+"""How a holder resumes from a checkpoint without the outcomes it did not read."""
 
 from clementinebend_ledger.holder_state import BudgetUse, HolderState, release_busy
 from clementinebend_ledger.holder_transfers import add_grant, remember_transfer
@@ -7,11 +7,11 @@
 
 
 def resume(holder: HolderState, state: LedgerState, stream: str = "") -> HolderState:
-    """Check a holder against a state restored from a checkpoint of a stream.
+    """Reconcile a holder with a state restored from a checkpoint of ``stream``.
 
-    A holder whose close was in the part not read is closed; so is one that
-    the log has forgotten, since it was released. Bills and requests that the
-    checkpoint shows as logged are taken as read.
+    The holder is closed if the state has its close, or if it had witnesses but is
+    missing from the state, which means that it was released and evicted. Bills,
+    transfers and requests that the state contains are treated as read back.
     """
     entry = state.holders.get(holder.incarnation)
     scoped = bool(holder.witnesses.get(stream))
@@ -35,10 +35,10 @@
 def _resume_requests(
     holder: HolderState, state: LedgerState, budget: str, use: BudgetUse
 ) -> None:
-    """Take accepted grants; the others were refused or are still to come.
+    """Add the grants that were accepted; other requests were refused or are pending.
 
-    One still to come is kept at 0, so that it neither blocks a new request
-    nor is lost when its outcome is read after all.
+    The others are kept with amount 0, so that they do not block a new request and a
+    pending one is still accepted when its outcome is read.
     """
     for name in use["requested"]:
         use["requested"][name] = 0
@@ -49,7 +49,7 @@
 
 
 def _restore_transfers(holder: HolderState, state: LedgerState) -> None:
-    """Take parts whose message and record this holder both missed."""
+    """Add the transfers to this holder whose message and record it both missed."""
     for name, grant in state.grants.items():
         is_receiver = grant["transferred"] and grant["holder"] == holder.incarnation
         if is_receiver and name not in holder.known_transfers:
