--- a/libs/ledger/src/clementinebend_ledger/settling.py
+++ b/libs/ledger/src/clementinebend_ledger/settling.py
@@ -88,7 +88,7 @@
     if paid == bill.amount:
         return (Billed(bill),)
     excess = bill.amount - paid
-    _wait_for_tokens(entry, bill, excess)
+    _add_shortfall(entry, bill, excess)
     pay_shortfall(entry)
     return Billed(bill), OverrunDetected(budget, bill.grant, excess)
 
@@ -100,14 +100,14 @@
     unfunded = bill.amount - from_hold
     if not unfunded:
         return Billed(bill)
-    _note_early(state, bill.grant, unfunded)
+    _add_early_bill(state, bill.grant, unfunded)
     covered = min(available(entry), unfunded)
     _charge(entry, bill, covered)
-    _wait_for_tokens(entry, bill, unfunded - covered)
+    _add_shortfall(entry, bill, unfunded - covered)
     return BillUnfunded(bill, unfunded, entry["shortfall"])
 
 
-def _note_early(state: LedgerState, grant: GrantId, amount: int) -> None:
+def _add_early_bill(state: LedgerState, grant: GrantId, amount: int) -> None:
     state.early_bills[grant] = state.early_bills.get(grant, 0) + amount
     trim_oldest(state.early_bills, EARLY_WINDOW)
 
@@ -119,7 +119,7 @@
         entry["billed"] += amount
 
 
-def _wait_for_tokens(entry: BudgetEntry, bill: Bill, amount: int) -> None:
+def _add_shortfall(entry: BudgetEntry, bill: Bill, amount: int) -> None:
     if bill.held:
         add_unheld(entry, bill.key, amount)
     else:
