--- a/libs/ledger/src/clementinebend_ledger/settling.py
+++ b/libs/ledger/src/clementinebend_ledger/settling.py
@@ -1,15 +1,17 @@
-"""How one bill changes the accounts.
-
-A bill is paid from its grant, else from the hold that a released grant left,
-else from the budget's available amount. What none of these covers is a
-shortfall: it was spent, so it is billed before any new grant, but never above
-the budget; of a held bill it is held instead, as nobody knows that it was.
-After a clean release no witness has a bill left, so an unfunded bill means a
-late transfer record (see ``early_bills``) or a broken invariant; to drop it
-would be a request billed zero times.
-
-A held bill says that a run's cost is not known. A bill with the cost, of that
-run or of another run of the key, is evidence: it ends the hold and counts.
+"""How a bill changes the accounts of its budget.
+
+A bill is paid from its grant, else from the hold that a released grant left behind,
+else from the budget's available amount. Whatever none of these covers becomes a
+shortfall. A shortfall was spent, so it is billed before any new grant is accepted,
+but never beyond the budget. The shortfall of a held bill is held instead, since it
+is not known to have been spent.
+
+After a clean release no witness has bills left to log, so an unfunded bill means a
+late transfer record (see ``early_bills``) or a violated invariant. It is not dropped,
+since its request would then never be billed.
+
+A held bill is one of a run with unknown cost. A later bill with the cost, of the same
+run or of another run of the key, ends the hold and is billed.
 """
 
 from clementinebend_ledger.outcomes import (
@@ -44,7 +46,7 @@
 def settle_bill(
     state: LedgerState, budget: str, bill: Bill
 ) -> tuple[LedgerOutcome, ...]:
-    """Bill a request key once."""
+    """Bill a request key, unless it was billed before."""
     if bill.amount < 0:
         return (Ignored("negative amount"),)
     entry = state.budgets.get(budget)
@@ -70,7 +72,7 @@
 def _replace_hold(
     state: LedgerState, budget: str, bill: Bill
 ) -> tuple[LedgerOutcome, ...]:
-    """End the hold of a key: by the held run's own cost, or by another run's."""
+    """End the hold of a key with the cost of the held run or of another run."""
     entry = state.budgets[budget]
     same_run = state.billed_runs.get(bill.key) == bill.run
     paid, freed = end_hold(entry, bill.key, bill.amount if same_run else 0)
