--- a/libs/ledger/src/clementinebend_ledger/sizing.py
+++ b/libs/ledger/src/clementinebend_ledger/sizing.py
@@ -12,28 +12,28 @@
 HALF_LIFE = 600.0
 """Seconds after which an observation counts half."""
 
-YOUNGEST = 60.0
+MIN_FORECAST_AGE = 60.0
 """Seconds that a forecast is taken to have seen at the least."""
 
 DELAY_FACTOR = 3.0
 """Log delays that a grant should last: request, reading back, and a retry."""
 
-HORIZON = 2.0
+FALLBACK_SECONDS = 2.0
 """Seconds of demand at hand beyond the log's delays, if accounts are unknown."""
 
-COVER = 3600.0
+TARGET_SECONDS = 3600.0
 """Seconds of demand that a holder keeps at hand where the budget allows it.
 
 A region may be cut off for an hour, and then nothing else can be had.
 """
 
-PLACED_SHARE = 0.95
+MAX_GRANTED_SHARE = 0.95
 """Part of what is left of a budget that holders keep between them.
 
 The rest stays on the log, for whoever finds that it has too little.
 """
 
-KEPT_FLOOR = 4.0
+MIN_RESERVATIONS = 4.0
 """A share of fewer usual reservations than this is not kept at all.
 
 Near the end of a budget small pieces in many hands would cover no request.
@@ -42,7 +42,7 @@
 FLOOR_SHARE = 0.1
 """Part of what is left that all holders' least pieces may come to."""
 
-CALL_FACTOR = 2.0
+RETURN_FACTOR = 2.0
 """How many times what another holder lacks the others give back between them."""
 
 SURPLUS_FACTOR = 1.5
@@ -51,8 +51,8 @@
 REFILL_SHARE = 0.7
 """A holder asks for more when it has less than this share of its target."""
 
-FIRST_BACKOFF = 0.1
-LAST_BACKOFF = 3.2
+MIN_BACKOFF = 0.1
+MAX_BACKOFF = 3.2
 """Seconds between requests after refusals; doubled from first to last."""
 
 _DECAY = log(2) / HALF_LIFE
@@ -119,7 +119,7 @@
 
     A young forecast is scaled by the share of the past that it has seen.
     """
-    age = max(YOUNGEST, now - forecast["since"])
+    age = max(MIN_FORECAST_AGE, now - forecast["since"])
     return _decayed(forecast, now) * _DECAY / (1.0 - exp(-_DECAY * age))
 
 
@@ -131,21 +131,23 @@
     """
     rate = tokens_per_second(forecast, now)
     if accounts.left < 0:
-        demand = rate * (log_delay * DELAY_FACTOR + HORIZON)
+        demand = rate * (log_delay * DELAY_FACTOR + FALLBACK_SECONDS)
         return int(max(demand, 2 * forecast["usual"])) if demand >= 1.0 else 0
     share = rate / max(rate, accounts.rate) if rate else 0.0
-    goal = min(rate * COVER, PLACED_SHARE * accounts.left * share)
-    floor = KEPT_FLOOR * forecast["usual"]
+    target_amount = min(
+        rate * TARGET_SECONDS, MAX_GRANTED_SHARE * accounts.left * share
+    )
+    floor = MIN_RESERVATIONS * forecast["usual"]
     if floor * (accounts.holders + 1) <= FLOOR_SHARE * accounts.left:
-        return int(max(goal, floor))
-    return int(goal) if goal >= floor else 0
+        return int(max(target_amount, floor))
+    return int(target_amount) if target_amount >= floor else 0
 
 
 def called_back(free: int, lacking: int, granted: int) -> int:
     """Return what a holder gives back when another was refused a grant."""
     if granted <= 0:
         return 0
-    return int(min(free, ceil(free * CALL_FACTOR * lacking / granted)))
+    return int(min(free, ceil(free * RETURN_FACTOR * lacking / granted)))
 
 
 def share_of_available(spare: int, holders: int) -> int:
@@ -158,7 +160,7 @@
 
 def next_backoff(backoff: float) -> float:
     """Return the wait after one more refusal."""
-    return min(LAST_BACKOFF, max(FIRST_BACKOFF, backoff * 2))
+    return min(MAX_BACKOFF, max(MIN_BACKOFF, backoff * 2))
 
 
 def _decayed(forecast: Forecast, now: float) -> float:
