--- a/libs/ledger/src/clementinebend_ledger/planning.py
+++ b/libs/ledger/src/clementinebend_ledger/planning.py
@@ -17,7 +17,7 @@
     REFILL_SHARE,
     SURPLUS_FACTOR,
     Accounts,
-    called_back,
+    amount_to_return,
     observe,
     share_of_available,
     target,
@@ -123,7 +123,7 @@
     need = _unmet_need(use)
     if not need:
         spare = free_tokens(use) - sum(use["wanted"].values())
-        called = called_back(max(0, spare), use["lacking"], use["granted"])
+        called = amount_to_return(max(0, spare), use["lacking"], use["granted"])
         use["lacking"] = 0
         surplus = max(called, spare - int(target_amount * SURPLUS_FACTOR))
         returns = _returns(holder, budget, _split_over_grants(use, surplus))
--- a/libs/ledger/src/clementinebend_ledger/sizing.py
+++ b/libs/ledger/src/clementinebend_ledger/sizing.py
@@ -143,7 +143,7 @@
     return int(target_amount) if target_amount >= floor else 0
 
 
-def called_back(free: int, lacking: int, granted: int) -> int:
+def amount_to_return(free: int, lacking: int, granted: int) -> int:
     """Return what a holder gives back when another was refused a grant."""
     if granted <= 0:
         return 0
