--- a/libs/ledger/src/clementinebend_ledger/sizing.py
+++ b/libs/ledger/src/clementinebend_ledger/sizing.py
@@ -1,69 +1,69 @@
-"""How many tokens a holder wants to have at hand: policy, never safety.
+"""How many unreserved tokens a holder should have: policy that never affects safety.
 
-Demand is an exponentially decayed rate of net reservations (tokens/s). A
-holder keeps an hour of it, at most its part of what is left of the budget,
-and nothing once that part is small, so that little is stranded. Times are
-seconds of a monotonic clock.
+Demand is an exponentially decayed rate of net reservations in tokens/s. A holder
+keeps an hour of demand, but at most its share of the remaining budget, and nothing
+once that share is small, so that few tokens are stranded. Times are in seconds of a
+monotonic clock.
 """
 
 from math import ceil, exp, log
 from typing import NamedTuple, TypedDict
 
 HALF_LIFE = 600.0
-"""Seconds after which an observation counts half."""
+"""Seconds after which an observation has half its weight."""
 
 MIN_FORECAST_AGE = 60.0
-"""Seconds that a forecast is taken to have seen at the least."""
+"""Minimum age of a forecast, in seconds, that is used to scale its rate."""
 
 DELAY_FACTOR = 3.0
-"""Log delays that a grant should last: request, reading back, and a retry."""
+"""Number of log delays that a grant should last: request, read back and one retry."""
 
 FALLBACK_SECONDS = 2.0
-"""Seconds of demand at hand beyond the log's delays, if accounts are unknown."""
+"""Seconds of demand kept beyond the log delays while the accounts are unknown."""
 
 TARGET_SECONDS = 3600.0
-"""Seconds of demand that a holder keeps at hand where the budget allows it.
+"""Seconds of demand that a holder keeps if the budget allows it.
 
-A region may be cut off for an hour, and then nothing else can be had.
+A region may be disconnected for an hour and cannot get any grant in that time.
 """
 
 MAX_GRANTED_SHARE = 0.95
-"""Part of what is left of a budget that holders keep between them.
+"""Share of a budget's remaining tokens that all holders together keep.
 
-The rest stays on the log, for whoever finds that it has too little.
+The rest stays available on the log, for holders that turn out to have too few.
 """
 
 MIN_RESERVATIONS = 4.0
-"""A share of fewer usual reservations than this is not kept at all.
+"""A holder's share is not kept if it is smaller than this many usual reservations.
 
-Near the end of a budget small pieces in many hands would cover no request.
+Near the end of a budget, small amounts at many holders would not cover any request.
 """
 
 FLOOR_SHARE = 0.1
-"""Part of what is left that all holders' least pieces may come to."""
+"""Share of the remaining tokens that the minimum amounts of all holders may total."""
 
 RETURN_FACTOR = 2.0
-"""How many times what another holder lacks the others give back between them."""
+"""Multiple of a refused holder's shortage that the other holders together return."""
 
 SURPLUS_FACTOR = 1.5
-"""A holder gives tokens back when it has this many times its target."""
+"""A holder returns its tokens above this multiple of its target."""
 
 REFILL_SHARE = 0.7
-"""A holder asks for more when it has less than this share of its target."""
+"""A holder requests more tokens below this share of its target."""
 
 MIN_BACKOFF = 0.1
 MAX_BACKOFF = 3.2
-"""Seconds between requests after refusals; doubled from first to last."""
+"""Seconds between requests after refusals, doubled from the minimum to the maximum."""
 
 _DECAY = log(2) / HALF_LIFE
 _SMOOTHING = 0.1
 
 
 class Accounts(NamedTuple):
-    """A budget as a holder last saw it in replay; -1 if it never did.
+    """Accounts of a budget as a holder last saw them in replay.
 
-    ``rate`` is what all holders spend (tokens/s), ``left`` what is neither
-    billed nor held.
+    ``rate`` is the spending of all holders in tokens/s, ``left`` the tokens that are
+    neither billed nor held. ``left`` and ``holders`` are -1 before the first summary.
     """
 
     rate: float
@@ -72,10 +72,11 @@
 
 
 class Forecast(TypedDict):
-    """Decayed observations of one budget's use by one holder.
+    """Decayed observations of the use of a budget.
 
-    ``weight`` is tokens, decayed to ``updated``; ``usual`` and ``cost_share``
-    are moving means of a reservation and of the part of it that was spent.
+    ``weight`` is in tokens, decayed to the time ``updated``. ``usual``, ``cost_share``
+    and ``run_seconds`` are moving averages of the size of a reservation, of the share
+    of it that was spent, and of the duration of a run.
     """
 
     weight: float
@@ -87,27 +88,27 @@
 
 
 def new_forecast(now: float) -> Forecast:
-    """Return a forecast without observations."""
+    """Return a forecast that starts at ``now``, without observations."""
     return Forecast(
         weight=0.0, since=now, updated=now, usual=0.0, cost_share=1.0, run_seconds=1.0
     )
 
 
 def observe(forecast: Forecast, tokens: int, now: float) -> None:
-    """Count ``tokens`` reserved (above 0) or returned (below 0)."""
+    """Add ``tokens`` reserved (positive) or returned (negative) to the demand."""
     forecast["weight"] = max(0.0, _decayed(forecast, now) + tokens)
     forecast["updated"] = max(now, forecast["updated"])
 
 
 def observe_reservation(forecast: Forecast, amount: int, now: float) -> None:
-    """Count a reservation."""
+    """Add a reservation to the demand and to the average size."""
     observe(forecast, amount, now)
     usual = forecast["usual"] or float(amount)
     forecast["usual"] = usual + _SMOOTHING * (amount - usual)
 
 
 def observe_cost(forecast: Forecast, reserved: int, cost: int, seconds: float) -> None:
-    """Count the end of a run that had ``reserved`` tokens."""
+    """Record the end of a run that spent ``cost`` of its ``reserved`` tokens."""
     forecast["weight"] = max(0.0, forecast["weight"] - (reserved - cost))
     share = cost / reserved if reserved else 1.0
     forecast["cost_share"] += _SMOOTHING * (share - forecast["cost_share"])
@@ -115,19 +116,21 @@
 
 
 def tokens_per_second(forecast: Forecast, now: float) -> float:
-    """Return the forecast rate of net reservations.
+    """Return the forecast rate of net reservations in tokens/s.
 
-    A young forecast is scaled by the share of the past that it has seen.
+    The decayed sum of a recent forecast covers only part of the decay window, so the
+    rate is scaled by the age of the forecast.
     """
     age = max(MIN_FORECAST_AGE, now - forecast["since"])
     return _decayed(forecast, now) * _DECAY / (1.0 - exp(-_DECAY * age))
 
 
 def target(forecast: Forecast, accounts: Accounts, now: float, log_delay: float) -> int:
-    """Return the unreserved tokens that the holder wants to have at hand.
+    """Return the number of unreserved tokens that the holder should have.
 
-    Each holder's part of what is left is its part of the spending. While the
-    budget allows every holder a few usual reservations, none has fewer.
+    A holder's share of the remaining tokens is its share of the spending. As long as
+    the budget allows every holder ``MIN_RESERVATIONS`` usual reservations, that is
+    the minimum for each.
     """
     rate = tokens_per_second(forecast, now)
     if accounts.left < 0:
@@ -144,22 +147,22 @@
 
 
 def amount_to_return(free: int, lacking: int, granted: int) -> int:
-    """Return what a holder gives back when another was refused a grant."""
+    """Return how many tokens to return after another holder was refused a grant."""
     if granted <= 0:
         return 0
     return int(min(free, ceil(free * RETURN_FACTOR * lacking / granted)))
 
 
 def share_of_available(spare: int, holders: int) -> int:
-    """Return what one holder may ask for beyond its pending need.
+    """Return how many available tokens one holder may request beyond its need.
 
-    One part is left over for a holder that has no grant yet.
+    One further share is left for a holder that has no grant yet.
     """
     return spare // (holders + 1)
 
 
 def next_backoff(backoff: float) -> float:
-    """Return the wait after one more refusal."""
+    """Return the number of seconds to wait after another refusal."""
     return min(MAX_BACKOFF, max(MIN_BACKOFF, backoff * 2))
 
 
