--- a/libs/ledger/src/clementinebend_ledger/closing.py
+++ b/libs/ledger/src/clementinebend_ledger/closing.py
@@ -26,7 +26,7 @@
     holder_entry,
     is_closed,
     pay_shortfall,
-    take_remainder,
+    reduce_grant,
     trim_oldest,
 )
 from clementinebend_records.identifiers import GrantId, Incarnation
@@ -151,7 +151,7 @@
 
 def _end_grant(state: LedgerState, grant: GrantId, status: WitnessStatus) -> int:
     budget = state.budgets[state.grants[grant]["budget"]]
-    amount = take_remainder(state, grant, state.grants[grant]["remainder"])
+    amount = reduce_grant(state, grant, state.grants[grant]["remainder"])
     if status == WitnessStatus.LOST:
         add_hold(budget, grant, amount)
     pay_shortfall(budget)
--- a/libs/ledger/src/clementinebend_ledger/planning.py
+++ b/libs/ledger/src/clementinebend_ledger/planning.py
@@ -123,9 +123,9 @@
     need = _unmet_need(use)
     if not need:
         spare = free_tokens(use) - sum(use["wanted"].values())
-        called = amount_to_return(max(0, spare), use["lacking"], use["granted"])
+        returned = amount_to_return(max(0, spare), use["lacking"], use["granted"])
         use["lacking"] = 0
-        surplus = max(called, spare - int(target_amount * SURPLUS_FACTOR))
+        surplus = max(returned, spare - int(target_amount * SURPLUS_FACTOR))
         returns = _returns(holder, budget, _split_over_grants(use, surplus))
         if returns:
             return holder, returns
--- a/libs/ledger/src/clementinebend_ledger/replay.py
+++ b/libs/ledger/src/clementinebend_ledger/replay.py
@@ -35,12 +35,12 @@
     budget_entry,
     budget_summary,
     empty_ledger,
-    end_hold,
     holder_entry,
-    in_doubt,
     is_closed,
     pay_shortfall,
-    take_remainder,
+    reduce_grant,
+    resolve_hold,
+    uncertain_amount,
 )
 from clementinebend_ledger.transfers import apply_transfer
 from clementinebend_records.identifiers import Incarnation
@@ -142,7 +142,7 @@
         return (Ignored("returned grant is not the holder's"),)
     if record.amount <= 0:
         return (Ignored("return of no tokens"),)
-    amount = take_remainder(state, record.grant, record.amount)
+    amount = reduce_grant(state, record.grant, record.amount)
     pay_shortfall(state.budgets[record.budget])
     return (GrantReduced(record.budget, record.grant, record.holder, amount),)
 
@@ -150,12 +150,12 @@
 @apply.register
 def _(record: HoldResolve, state: LedgerState) -> tuple[LedgerOutcome, ...]:
     entry = state.budgets.get(record.budget)
-    uncertain = in_doubt(entry, record.subject) if entry else 0
+    uncertain = uncertain_amount(entry, record.subject) if entry else 0
     if entry is None or not uncertain:
         return (Ignored("nothing is held for the subject"),)
     if not 0 <= record.charge <= uncertain:
         return (Ignored("charge is not within the hold"),)
-    _, freed = end_hold(entry, record.subject, record.charge)
+    _, freed = resolve_hold(entry, record.subject, record.charge)
     pay_shortfall(entry)
     return (HoldResolved(record.budget, record.subject, record.charge, freed),)
 
--- a/libs/ledger/src/clementinebend_ledger/settling.py
+++ b/libs/ledger/src/clementinebend_ledger/settling.py
@@ -32,12 +32,12 @@
     add_unheld,
     available,
     budget_entry,
-    end_hold,
-    in_doubt,
     pay_shortfall,
-    take_hold,
-    take_remainder,
+    reduce_grant,
+    reduce_hold,
+    resolve_hold,
     trim_oldest,
+    uncertain_amount,
 )
 from clementinebend_records.identifiers import GrantId
 from clementinebend_records.records import Bill
@@ -50,7 +50,7 @@
     if bill.amount < 0:
         return (Ignored("negative amount"),)
     entry = state.budgets.get(budget)
-    if entry is not None and in_doubt(entry, bill.key) and not bill.held:
+    if entry is not None and uncertain_amount(entry, bill.key) and not bill.held:
         return _replace_hold(state, budget, bill)
     billed_run = state.billed_runs.get(bill.key)
     if billed_run is not None:
@@ -75,7 +75,7 @@
     """End the hold of a key with the cost of the held run or of another run."""
     entry = state.budgets[budget]
     same_run = state.billed_runs.get(bill.key) == bill.run
-    paid, freed = end_hold(entry, bill.key, bill.amount if same_run else 0)
+    paid, freed = resolve_hold(entry, bill.key, bill.amount if same_run else 0)
     billed = (Billed(bill),) if same_run else _bill_once(state, budget, bill)
     pay_shortfall(entry)
     return HoldResolved(budget, bill.key, paid, freed), *billed
@@ -85,7 +85,7 @@
     state: LedgerState, budget: str, bill: Bill
 ) -> tuple[LedgerOutcome, ...]:
     entry = budget_entry(state, budget)
-    paid = take_remainder(state, bill.grant, bill.amount)
+    paid = reduce_grant(state, bill.grant, bill.amount)
     _charge(entry, bill, paid)
     if paid == bill.amount:
         return (Billed(bill),)
@@ -97,7 +97,7 @@
 
 def _bill_without_grant(state: LedgerState, budget: str, bill: Bill) -> LedgerOutcome:
     entry = budget_entry(state, budget)
-    from_hold = take_hold(entry, bill.grant, bill.amount)
+    from_hold = reduce_hold(entry, bill.grant, bill.amount)
     _charge(entry, bill, from_hold)
     unfunded = bill.amount - from_hold
     if not unfunded:
--- a/libs/ledger/src/clementinebend_ledger/state.py
+++ b/libs/ledger/src/clementinebend_ledger/state.py
@@ -40,7 +40,7 @@
 """Unknown grants whose bills are remembered until their transfer appears."""
 
 
-TRIM_SHARE = 8
+TRIM_DIVISOR = 8
 """A window grows by this part of it before it is cut back."""
 
 
@@ -173,7 +173,7 @@
     entry["billed"] += paid
     for subject, amount in list(entry["unheld"].items()):
         covered = min(amount, available(entry))
-        _take_unheld(entry, subject, covered)
+        _reduce_unheld(entry, subject, covered)
         add_hold(entry, subject, covered)
 
 
@@ -184,7 +184,7 @@
         entry["holds"][subject] = entry["holds"].get(subject, 0) + amount
 
 
-def take_hold(entry: BudgetEntry, subject: str, amount: int) -> int:
+def reduce_hold(entry: BudgetEntry, subject: str, amount: int) -> int:
     """Take up to ``amount`` out of a hold and return what was taken."""
     hold = entry["holds"].get(subject, 0)
     taken = min(hold, amount)
@@ -203,35 +203,35 @@
         entry["unheld"][subject] = entry["unheld"].get(subject, 0) + amount
 
 
-def in_doubt(entry: BudgetEntry, subject: str) -> int:
+def uncertain_amount(entry: BudgetEntry, subject: str) -> int:
     """Return what ``subject`` may have cost, held or still to be held."""
     return entry["holds"].get(subject, 0) + entry["unheld"].get(subject, 0)
 
 
-def end_hold(entry: BudgetEntry, subject: str, cost: int) -> tuple[int, int]:
+def resolve_hold(entry: BudgetEntry, subject: str, cost: int) -> tuple[int, int]:
     """End all of a hold for a known cost; return what it paid and what it freed.
 
     What it does not pay is a shortfall, which the caller pays.
     """
-    hold = take_hold(entry, subject, entry["holds"].get(subject, 0))
-    _take_unheld(entry, subject, entry["unheld"].get(subject, 0))
+    hold = reduce_hold(entry, subject, entry["holds"].get(subject, 0))
+    _reduce_unheld(entry, subject, entry["unheld"].get(subject, 0))
     paid = min(hold, cost)
     entry["billed"] += paid
     entry["shortfall"] += cost - paid
     return paid, hold - paid
 
 
-def _take_unheld(entry: BudgetEntry, subject: str, amount: int) -> None:
+def _reduce_unheld(entry: BudgetEntry, subject: str, amount: int) -> None:
     """Have less of a subject wait for tokens; one that still waits keeps its place."""
-    rest = entry["unheld"].get(subject, 0) - amount
+    remaining = entry["unheld"].get(subject, 0) - amount
     entry["shortfall"] -= amount
-    if rest:
-        entry["unheld"][subject] = rest
+    if remaining:
+        entry["unheld"][subject] = remaining
     else:
         entry["unheld"].pop(subject, None)
 
 
-def take_remainder(state: LedgerState, grant: GrantId, amount: int) -> int:
+def reduce_grant(state: LedgerState, grant: GrantId, amount: int) -> int:
     """Take up to ``amount`` of an open grant and return what was taken.
 
     An exhausted grant is forgotten: no well-behaved holder names it again.
@@ -270,7 +270,7 @@
     dict keeps the places of what was removed.
     """
     excess = len(entries) - limit
-    if excess > limit // TRIM_SHARE:
+    if excess > limit // TRIM_DIVISOR:
         oldest = list(islice(entries, excess))
         for key in oldest:
             del entries[key]
--- a/libs/ledger/src/clementinebend_ledger/transfers.py
+++ b/libs/ledger/src/clementinebend_ledger/transfers.py
@@ -18,7 +18,7 @@
     WitnessStatus,
     add_hold,
     pay_shortfall,
-    take_remainder,
+    reduce_grant,
 )
 from clementinebend_records.identifiers import GrantId
 from clementinebend_records.records import Transfer
@@ -30,7 +30,7 @@
     if problem is not None:
         return (Ignored(problem),)
     state.grants[record.grant]["transfers"].append(record.transfer)
-    amount = take_remainder(state, record.grant, record.amount)
+    amount = reduce_grant(state, record.grant, record.amount)
     billed_early = min(state.early_bills.pop(record.transfer, 0), amount)
     _place(state, record, amount - billed_early)
     pay_shortfall(state.budgets[record.budget])
