--- a/libs/ledger/src/clementinebend_ledger/state.py
+++ b/libs/ledger/src/clementinebend_ledger/state.py
@@ -1,9 +1,9 @@
-"""The state of one ledger stream, and the arithmetic of one budget.
+"""State of a ledger stream, and the arithmetic on the accounts of a budget.
 
-Budgets are escrowed (escrow transactions, O'Neil 1986; bounded counters,
-Balegas et al. 2015): for each budget, at every offset,
-``billed + held + granted <= topped_up``. Amounts are in tokens. All
-containers keep insertion order, so equal streams give equal encodings.
+Budgets are escrowed (escrow transactions, O'Neil 1986; bounded counters, Balegas et
+al. 2015). The invariant of each budget at every offset is
+``billed + held + granted <= topped_up``. Amounts are in tokens. All containers keep
+insertion order, so equal streams have equal encodings.
 """
 
 from enum import IntEnum
@@ -18,34 +18,40 @@
 )
 
 BILL_WINDOW = 16_384
-"""Billed keys that a shard remembers, counted in bills.
+"""Number of billed keys that a shard remembers.
 
-A repeated bill further back is taken for a new one. A witness offers a bill
-again only until it is told that the log has it, so the window has to outlast
-that notice: at 700 bills/s for one shard it is 23 s, at the desks' present
-loads hours. An entry takes about 65 bytes of a checkpoint, so 1 MB in all.
+A repeated bill whose key was evicted would be billed again. A witness repeats a bill
+only until it is notified that the log has it, so the window must outlast that
+notification: it covers 23 s at 700 bills/s per shard, and hours at the present load
+of the deployments. A key takes about 65 bytes of a checkpoint, so 1 MB in total.
 """
 
 WRITER_WINDOW = 8_192
-"""Writers whose last sequence is kept, beside those of unreleased holders."""
+"""Number of writers whose last sequence is kept.
+
+A ledger stream never evicts a writer that is an unreleased holder.
+"""
 
 RELEASED_WINDOW = 4_096
-"""Released holders that are remembered as closed.
+"""Number of released holders that are remembered as closed.
 
-A holder that was paused for longer sees its own close when it reads the
-stream on, or from a checkpoint that no longer has it (``holder.resume``).
+A holder that was paused until after its eviction still learns of its close: it reads
+the record, or resumes from a checkpoint that does not contain it (``holder.resume``).
 """
 
 EARLY_WINDOW = 1_024
-"""Unknown grants whose bills are remembered until their transfer appears."""
+"""Number of unknown grants whose bills are remembered for a late transfer."""
 
 
 TRIM_DIVISOR = 8
-"""A window grows by this part of it before it is cut back."""
+"""A window is trimmed once it exceeds its limit by this fraction (one eighth)."""
 
 
 class WitnessStatus(IntEnum):
-    """What the log knows of a witness of a closed holder."""
+    """Whether a witness of a closed holder can still accept the holder's requests.
+
+    ``LOST`` witnesses lost their memory, so their past runs are unknown.
+    """
 
     OPEN = 0
     ACKNOWLEDGED = 1
@@ -55,10 +61,10 @@
 class BudgetEntry(TypedDict):
     """Accounts of one budget.
 
-    ``granted`` is the remainder of all grants not yet released; ``shortfall``
-    waits for tokens and takes them first when they become available: it is
-    ``unheld``, the part of held bills that nothing covered, by key, and the rest
-    of it, which was spent and is billed.
+    ``granted`` is the total remainder of the open grants. ``shortfall`` is what bills
+    exceeded their cover by; it is paid first from tokens that become available. It
+    consists of ``unheld``, the uncovered amounts of held bills by key, and of spent
+    tokens, which are still to be billed.
     """
 
     topped_up: int
@@ -72,7 +78,7 @@
 
 
 class GrantEntry(TypedDict):
-    """An open grant; ``transfers`` are the parts that were passed on."""
+    """An open grant; ``transfers`` has the ids of the transfers made from it."""
 
     budget: str
     holder: Incarnation
@@ -82,7 +88,7 @@
 
 
 class HolderEntry(TypedDict):
-    """The witnesses of one holder, with their ``WitnessStatus``."""
+    """The witnesses of one holder, each with its ``WitnessStatus``."""
 
     closed: bool
     clean: bool
@@ -91,7 +97,7 @@
 
 
 class LedgerState(NamedTuple):
-    """Pure replay of one ledger stream up to and including ``offset``."""
+    """State of a ledger stream after the batch at ``offset``."""
 
     offset: int
     budgets: dict[str, BudgetEntry]
@@ -104,7 +110,7 @@
 
 
 class BudgetSummary(NamedTuple):
-    """The accounts of a budget; ``holders`` counts those with open grants."""
+    """Accounts of a budget; ``holders`` is the number of holders with open grants."""
 
     topped_up: int
     billed: int
@@ -116,12 +122,12 @@
 
 
 def empty_ledger() -> LedgerState:
-    """Return the state before the first record."""
+    """Return the state of an empty stream."""
     return LedgerState(-1, {}, {}, {}, {}, {}, {}, {})
 
 
 def budget_entry(state: LedgerState, budget: str) -> BudgetEntry:
-    """Return the entry of ``budget``, made if it is not there."""
+    """Return the entry of ``budget``, which is created if missing."""
     entry = state.budgets.get(budget)
     if entry is None:
         entry = BudgetEntry(
@@ -139,7 +145,7 @@
 
 
 def holder_entry(state: LedgerState, holder: Incarnation) -> HolderEntry:
-    """Return the entry of ``holder``, made if it is not there."""
+    """Return the entry of ``holder``, which is created if missing."""
     entry = state.holders.get(holder)
     if entry is None:
         entry = HolderEntry(closed=False, clean=False, sidecars={}, peers={})
@@ -148,22 +154,22 @@
 
 
 def is_closed(state: LedgerState, holder: Incarnation) -> bool:
-    """Return whether the log has a close of ``holder``."""
+    """Return whether ``holder`` is closed or was released."""
     entry = state.holders.get(holder)
     return holder in state.released or (entry is not None and entry["closed"])
 
 
 def available(entry: BudgetEntry) -> int:
-    """Return what a new grant may take."""
+    """Return the number of tokens that a new grant can get."""
     committed = entry["billed"] + entry["held"] + entry["granted"]
     return entry["topped_up"] - committed
 
 
 def pay_shortfall(entry: BudgetEntry) -> None:
-    """Bill what was spent without cover, as far as tokens are available.
+    """Pay the shortfall as far as tokens are available: first spent, then unheld.
 
-    Then hold what may have been spent without cover: only proof or an operator
-    turns a hold into a bill.
+    Spent tokens are billed. Unheld ones may have been spent, so they are only held:
+    a bill with the known cost or an operator decides what of a hold is billed.
     """
     if not entry["shortfall"]:
         return
@@ -185,7 +191,7 @@
 
 
 def reduce_hold(entry: BudgetEntry, subject: str, amount: int) -> int:
-    """Take up to ``amount`` out of a hold and return what was taken."""
+    """Reduce a hold by up to ``amount`` and return the actual reduction."""
     hold = entry["holds"].get(subject, 0)
     taken = min(hold, amount)
     entry["held"] -= taken
@@ -197,21 +203,21 @@
 
 
 def add_unheld(entry: BudgetEntry, subject: str, amount: int) -> None:
-    """Have ``amount`` for ``subject`` wait for tokens to be held."""
+    """Add ``amount`` to the shortfall, to be held for ``subject`` later."""
     if amount:
         entry["shortfall"] += amount
         entry["unheld"][subject] = entry["unheld"].get(subject, 0) + amount
 
 
 def uncertain_amount(entry: BudgetEntry, subject: str) -> int:
-    """Return what ``subject`` may have cost, held or still to be held."""
+    """Return the amount that ``subject`` may have cost, whether held or unheld."""
     return entry["holds"].get(subject, 0) + entry["unheld"].get(subject, 0)
 
 
 def resolve_hold(entry: BudgetEntry, subject: str, cost: int) -> tuple[int, int]:
-    """End all of a hold for a known cost; return what it paid and what it freed.
+    """Replace a hold by a known cost; return the amounts it paid and freed.
 
-    What it does not pay is a shortfall, which the caller pays.
+    Any cost above the hold is added to the shortfall, for the caller to pay.
     """
     hold = reduce_hold(entry, subject, entry["holds"].get(subject, 0))
     _reduce_unheld(entry, subject, entry["unheld"].get(subject, 0))
@@ -222,7 +228,7 @@
 
 
 def _reduce_unheld(entry: BudgetEntry, subject: str, amount: int) -> None:
-    """Have less of a subject wait for tokens; one that still waits keeps its place."""
+    """Reduce what is unheld for a subject; if any is left, its order is kept."""
     remaining = entry["unheld"].get(subject, 0) - amount
     entry["shortfall"] -= amount
     if remaining:
@@ -232,9 +238,9 @@
 
 
 def reduce_grant(state: LedgerState, grant: GrantId, amount: int) -> int:
-    """Take up to ``amount`` of an open grant and return what was taken.
+    """Reduce an open grant by up to ``amount`` and return the actual reduction.
 
-    An exhausted grant is forgotten: no well-behaved holder names it again.
+    An exhausted grant is deleted, since no correct holder refers to it again.
     """
     entry = state.grants[grant]
     taken = min(amount, entry["remainder"])
@@ -246,7 +252,7 @@
 
 
 def budget_summary(state: LedgerState, budget: str) -> BudgetSummary:
-    """Return the accounts of ``budget``; all 0 for one that is not known."""
+    """Return the accounts of ``budget``, which are all 0 if it is unknown."""
     entry = state.budgets.get(budget)
     if entry is None:
         return BudgetSummary(0, 0, 0, 0, 0)
@@ -264,10 +270,10 @@
 
 
 def trim_oldest(entries: dict[Any, Any], limit: int) -> None:
-    """Forget the oldest entries down to ``limit``, an eighth of it at once.
+    """Remove the oldest entries above ``limit``, in steps of an eighth of the limit.
 
-    Done one by one, each removal would pass over all earlier ones, since a
-    dict keeps the places of what was removed.
+    Removed one at a time, each removal would scan all earlier ones, since a dict
+    keeps the slots of deleted keys until it is resized.
     """
     excess = len(entries) - limit
     if excess > limit // TRIM_DIVISOR:
