--- a/libs/ledger/src/clementinebend_ledger/transfers.py
+++ b/libs/ledger/src/clementinebend_ledger/transfers.py
@@ -26,13 +26,13 @@
 
 def apply_transfer(state: LedgerState, record: Transfer) -> tuple[LedgerOutcome, ...]:
     """Make a part of the sender's grant a grant of the receiver."""
-    problem = _problem(state, record)
-    if problem is not None:
-        return (Ignored(problem),)
+    reason = _rejection_reason(state, record)
+    if reason is not None:
+        return (Ignored(reason),)
     state.grants[record.grant]["transfers"].append(record.transfer)
     amount = reduce_grant(state, record.grant, record.amount)
     billed_early = min(state.early_bills.pop(record.transfer, 0), amount)
-    _place(state, record, amount - billed_early)
+    _credit_receiver(state, record, amount - billed_early)
     pay_shortfall(state.budgets[record.budget])
     applied = TransferApplied(*record[:-1], amount)
     excess = record.amount - amount
@@ -41,7 +41,7 @@
     return applied, OverrunDetected(record.budget, record.grant, excess)
 
 
-def _problem(state: LedgerState, record: Transfer) -> str | None:
+def _rejection_reason(state: LedgerState, record: Transfer) -> str | None:
     grant = state.grants.get(record.grant)
     if grant is None or grant["budget"] != record.budget:
         return "transferred grant is not open"
@@ -57,7 +57,7 @@
     return None
 
 
-def _place(state: LedgerState, record: Transfer, amount: int) -> None:
+def _credit_receiver(state: LedgerState, record: Transfer, amount: int) -> None:
     """Give the part to its receiver, or to whatever its release left."""
     budget = state.budgets[record.budget]
     if record.receiver not in state.released:
