--- a/libs/ledger/src/clementinebend_ledger/transfers.py
+++ b/libs/ledger/src/clementinebend_ledger/transfers.py
@@ -1,8 +1,8 @@
-"""Parts of a grant that one holder passed to another directly.
+"""Replay of transfers that one holder sent directly to another.
 
-The sender subtracts before it sends, so a part exists once at most. Either
-side logs it, in any order, and the first record counts. Source: rights
-transfer of bounded counters (Balegas et al. 2015).
+The sender deducts the amount before it sends, so transferred tokens exist at most
+once. Both sides may log the transfer in any order; the first record counts. Source:
+rights transfer of bounded counters (Balegas et al. 2015).
 """
 
 from clementinebend_ledger.closing import peer_status
@@ -25,7 +25,10 @@
 
 
 def apply_transfer(state: LedgerState, record: Transfer) -> tuple[LedgerOutcome, ...]:
-    """Make a part of the sender's grant a grant of the receiver."""
+    """Move an amount from the sender's grant to a new grant of the receiver.
+
+    Bills that were logged ahead of the record reduce the new grant.
+    """
     reason = _rejection_reason(state, record)
     if reason is not None:
         return (Ignored(reason),)
@@ -58,7 +61,11 @@
 
 
 def _credit_receiver(state: LedgerState, record: Transfer, amount: int) -> None:
-    """Give the part to its receiver, or to whatever its release left."""
+    """Open a grant for the receiver.
+
+    After the receiver's release the amount is held if its release held tokens, and
+    stays available to the budget otherwise.
+    """
     budget = state.budgets[record.budget]
     if record.receiver not in state.released:
         _open_grant(state, record.transfer, record, amount)
