--- a/libs/ledger/src/clementinebend_ledger/holder_state.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_state.py
@@ -166,10 +166,10 @@
         return
     own["free"] += freed
     own["busy"] -= 1
-    forget_spent(use, grant)
+    delete_if_spent(use, grant)
 
 
-def forget_spent(use: BudgetUse, grant: GrantId) -> None:
+def delete_if_spent(use: BudgetUse, grant: GrantId) -> None:
     """Delete a grant that has no free tokens, runs or unlogged bills."""
     own = use["grants"][grant]
     if own["free"] <= 0 and not own["busy"]:
--- a/libs/ledger/src/clementinebend_ledger/holder_transfers.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_transfers.py
@@ -12,7 +12,7 @@
     OwnGrant,
     UnloggedTransfer,
     budget_use,
-    forget_spent,
+    delete_if_spent,
 )
 from clementinebend_ledger.state import trim_oldest
 from clementinebend_records.identifiers import GrantId, Incarnation
@@ -48,7 +48,7 @@
     use = budget_use(holder, budget)
     given = min(amount, use["grants"][grant]["free"])
     use["grants"][grant]["free"] -= given
-    forget_spent(use, grant)
+    delete_if_spent(use, grant)
     record = Transfer(budget, transfer, grant, holder.incarnation, receiver, given)
     _add_unlogged(holder, record)
     return holder, TransferGive(question, *record)
--- a/libs/ledger/src/clementinebend_ledger/planning.py
+++ b/libs/ledger/src/clementinebend_ledger/planning.py
@@ -10,7 +10,7 @@
     BudgetUse,
     HolderState,
     budget_use,
-    forget_spent,
+    delete_if_spent,
     free_tokens,
 )
 from clementinebend_ledger.sizing import (
@@ -215,7 +215,7 @@
     use = holder.budgets[budget]
     for name, part in parts.items():
         use["grants"][name]["free"] -= part
-        forget_spent(use, name)
+        delete_if_spent(use, name)
     return [
         GrantReturn(budget, name, holder.incarnation, part)
         for name, part in parts.items()
