--- a/libs/ledger/src/clementinebend_ledger/planning.py
+++ b/libs/ledger/src/clementinebend_ledger/planning.py
@@ -126,7 +126,7 @@
         returned = amount_to_return(max(0, spare), use["lacking"], use["granted"])
         use["lacking"] = 0
         surplus = max(returned, spare - int(target_amount * SURPLUS_FACTOR))
-        returns = _returns(holder, budget, _split_over_grants(use, surplus))
+        returns = _deduct_returns(holder, budget, _split_over_grants(use, surplus))
         if returns:
             return holder, returns
     if any(use["requested"].values()) or now < use["retry_at"]:
@@ -157,8 +157,8 @@
     amount = max(affordable_need, _refill_amount(use, target_amount))
     if amount <= 0:
         return holder, []
-    parts = undersized if affordable_need > use["spare"] else {}
-    returns = _returns(holder, budget, parts)
+    amounts = undersized if affordable_need > use["spare"] else {}
+    returns = _deduct_returns(holder, budget, amounts)
     holder, request = _new_request(holder, budget, amount)
     return holder, [*returns, request]
 
@@ -199,26 +199,26 @@
 
 def _split_over_grants(use: BudgetUse, surplus: int) -> dict[GrantId, int]:
     """Split a surplus over the free tokens of the grants, oldest first."""
-    parts: dict[GrantId, int] = {}
+    amounts: dict[GrantId, int] = {}
     for name, own in use["grants"].items():
         part = min(surplus, own["free"])
         if part > 0:
-            parts[name] = part
+            amounts[name] = part
             surplus -= part
-    return parts
+    return amounts
 
 
-def _returns(
-    holder: HolderState, budget: str, parts: dict[GrantId, int]
+def _deduct_returns(
+    holder: HolderState, budget: str, amounts: dict[GrantId, int]
 ) -> list[Record]:
     """Deduct the amounts at once and return the records that log it."""
     use = holder.budgets[budget]
-    for name, part in parts.items():
+    for name, part in amounts.items():
         use["grants"][name]["free"] -= part
         delete_if_spent(use, name)
     return [
         GrantReturn(budget, name, holder.incarnation, part)
-        for name, part in parts.items()
+        for name, part in amounts.items()
     ]
 
 
