--- a/libs/ledger/src/clementinebend_ledger/closing.py
+++ b/libs/ledger/src/clementinebend_ledger/closing.py
@@ -70,7 +70,7 @@
     elif record.witness not in entry["peers"]:
         return (Ignored("witness is not in the holder's scope"),)
     elif record.lost:
-        return (Ignored("a lost peer is discharged by its own close"),)
+        return (Ignored("a lost peer counts only once it is closed itself"),)
     else:
         entry["peers"][record.witness] = WitnessStatus.ACKNOWLEDGED
     acknowledged = WitnessAcknowledged(*record)
--- a/tests/unit/ledger/test_closing.py
+++ b/tests/unit/ledger/test_closing.py
@@ -88,7 +88,7 @@
     script.add(close(ALICE), ack(ALICE, CAR))
     assert available(script) == 40
     lost = script.add(ack(ALICE, BOB, lost=True))
-    assert lost == (Ignored("a lost peer is discharged by its own close"),)
+    assert lost == (Ignored("a lost peer counts only once it is closed itself"),)
     assert script.add(ack(ALICE, BOB))[-1] == HolderReleased(ALICE, 60, 0)
 
 
