--- a/tests/unit/ledger/fuzz_entry.py
+++ b/tests/unit/ledger/fuzz_entry.py
@@ -60,14 +60,14 @@
         self.alive = True
         self.paused = False
         self.cut = False
-        self.left = False
+        self.is_stopped = False
         self.sequence = 0
         self.queue: deque[Batch] = deque()
-        self.flights: dict[RunId, Start] = {}
-        self.kept: dict[RunId, Receipt] = {}
+        self.in_flight: dict[RunId, Start] = {}
+        self.kept_receipts: dict[RunId, Receipt] = {}
         self.now = 0.0
 
-    def post(self, records: Iterable[Record]) -> None:
+    def enqueue(self, records: Iterable[Record]) -> None:
         """Queue one batch; it is appended until it is read back."""
         rows = tuple(records)
         if rows:
@@ -102,14 +102,14 @@
         """Queue what the holder plans, time moving on."""
         self.now += 1.0
         self.holder, rows = plan(self.holder, self.now, log_delay)
-        self.post(record for budget in rows.values() for record in budget)
+        self.enqueue(record for budget in rows.values() for record in budget)
 
     def widen(
         self, sidecars: tuple[Incarnation, ...], peers: tuple[Incarnation, ...]
     ) -> None:
         """Queue new witnesses."""
         self.holder, scopes = widen(self.holder, sidecars, peers)
-        self.post(scopes)
+        self.enqueue(scopes)
 
     def submit(
         self,
@@ -126,17 +126,17 @@
         if not isinstance(outcome, Reserved):
             return None
         ticket = Ticket(budget, outcome.grant, self.incarnation, sidecar, amount)
-        self.flights[run] = Start(run, key, ticket)
-        return self.flights[run]
+        self.in_flight[run] = Start(run, key, ticket)
+        return self.in_flight[run]
 
     def ended(self, run: RunId, amount: int, held: bool = False) -> None:
         """Settle a run with its receipt, or hold all of it without one."""
-        start = self.flights.pop(run)
+        start = self.in_flight.pop(run)
         self.holder, _ = settle(self.holder, run, start.key, amount, held)
 
     def refused(self, run: RunId) -> None:
         """Take back the reservation of a run that is proved not run."""
-        del self.flights[run]
+        del self.in_flight[run]
         self.holder = cancel(self.holder, run)
 
     def give_up_waiting(self) -> None:
@@ -160,35 +160,37 @@
     def leave(self) -> None:
         """Stop as planned, once nothing is in flight."""
         self.holder, records = close_cleanly(self.holder)
-        self.post(records)
-        self.left = True
+        self.enqueue(records)
+        self.is_stopped = True
 
     def close(self, victim: Incarnation) -> None:
         """Believe a holder dead."""
-        self.post([HolderClose(victim, self.incarnation)])
+        self.enqueue([HolderClose(victim, self.incarnation)])
 
-    def notice_sidecar(self, victim: Incarnation, sidecar: FakeSidecar) -> None:
+    def request_close_ack(self, victim: Incarnation, sidecar: FakeSidecar) -> None:
         """Have a sidecar refuse a closed holder and log what it knows."""
         if not sidecar.alive:
             ack = CloseAck(victim, sidecar.incarnation, lost=True)
-            self.post([ack])
+            self.enqueue([ack])
             return
         receipts = sidecar.close(victim)
         if receipts is not None:
             ack = CloseAck(victim, sidecar.incarnation)
-            self.post([*settles_of(receipts), ack])
+            self.enqueue([*settles_of(receipts), ack])
 
-    def notice(self, victim: Incarnation) -> None:
+    def acknowledge_close(self, victim: Incarnation) -> None:
         """Acknowledge a closed holder as its peer, in one batch."""
         self.holder, transfers = refuse_sender(self.holder, victim)
-        receipts = [item for item in self.kept.values() if item.holder == victim]
+        receipts = [
+            item for item in self.kept_receipts.values() if item.holder == victim
+        ]
         ack = CloseAck(victim, self.incarnation)
-        self.post([*transfers, *settles_of(receipts), ack])
+        self.enqueue([*transfers, *settles_of(receipts), ack])
 
     def checkpoint(self) -> None:
         """Queue a checkpoint of all that was read."""
         if self.state.offset >= 0:
-            self.post([ledger_checkpoint(self.state, "ledger-0")])
+            self.enqueue([ledger_checkpoint(self.state, "ledger-0")])
 
     def _restore(self) -> None:
         checkpoint = self.log.checkpoint()
@@ -202,7 +204,7 @@
         for outcome in outcomes:
             self.holder = on_outcome(self.holder, outcome, self.now)
             if isinstance(outcome, Billed | BillRepeated):
-                self.kept.pop(outcome.bill.run, None)
+                self.kept_receipts.pop(outcome.bill.run, None)
 
     def _drop_read_back(self) -> None:
         last = self.state.sequences.get(self.incarnation, 0)
--- a/tests/unit/ledger/fuzz_fleet.py
+++ b/tests/unit/ledger/fuzz_fleet.py
@@ -57,7 +57,7 @@
         return [entry for entry in self.entries if entry.alive and not entry.paused]
 
     def serving(self) -> list[FakeEntry]:
-        return [entry for entry in self.awake() if not entry.left]
+        return [entry for entry in self.awake() if not entry.is_stopped]
 
     def living(self) -> list[FakeSidecar]:
         return [sidecar for sidecar in self.sidecars if sidecar.alive]
@@ -71,7 +71,7 @@
         sidecars = tuple(sidecar.incarnation for sidecar in self.living())
         alive = (other for other in self.entries if other.alive and other != entry)
         peers = tuple(other.incarnation for other in alive)
-        if not entry.left:
+        if not entry.is_stopped:
             entry.widen(sidecars, peers)
         entry.plan(0.5)
         for _ in range(len(entry.queue)):
@@ -94,15 +94,15 @@
 
     def send_end(self, entry: FakeEntry, run: RunId) -> None:
         """Deliver a receipt, or what its sidecar's death leaves."""
-        ticket = entry.flights[run].ticket
+        ticket = entry.in_flight[run].ticket
         sidecar = self.sidecar(ticket.sidecar)
         if run in sidecar.finished and sidecar.alive:
             entry.ended(run, sidecar.finished[run].amount)
         elif not sidecar.alive:
             entry.ended(run, ticket.amount, held=True)
 
-    def flights(self) -> list[tuple[FakeEntry, RunId]]:
-        return [(entry, run) for entry in self.awake() for run in entry.flights]
+    def in_flight(self) -> list[tuple[FakeEntry, RunId]]:
+        return [(entry, run) for entry in self.awake() for run in entry.in_flight]
 
     def closed_and_witness(self, entry: FakeEntry) -> list[tuple[Incarnation, str]]:
         """Return open witnesses of the closed holders that an entry knows."""
@@ -119,7 +119,7 @@
         """Send a close notice and have the answer logged."""
         for sidecar in self.sidecars:
             if sidecar.incarnation == witness:
-                entry.notice_sidecar(holder, sidecar)
+                entry.request_close_ack(holder, sidecar)
         for peer in self.awake():
             if peer.incarnation == witness:
-                peer.notice(holder)
+                peer.acknowledge_close(holder)
--- a/tests/unit/ledger/fuzz_traffic.py
+++ b/tests/unit/ledger/fuzz_traffic.py
@@ -31,11 +31,11 @@
         entry = pick(self.serving(), at)
         for index in range(count):
             self.submit(at, to + index, budget, cost, index, False)
-        for run in [*entry.flights][:finished]:
-            sidecar = self.sidecar(entry.flights[run].ticket.sidecar)
+        for run in [*entry.in_flight][:finished]:
+            sidecar = self.sidecar(entry.in_flight[run].ticket.sidecar)
             if run in sidecar.running and sidecar.alive:
                 sidecar.finish(run)
-        for run in [*entry.flights][:ended]:
+        for run in [*entry.in_flight][:ended]:
             self.send_end(entry, run)
 
     def give_part(
@@ -151,9 +151,9 @@
         for sidecar in self.living():
             for run in list(sidecar.running):
                 sidecar.finish(run)
-        for entry, run in self.flights():
-            self.send_start(entry, entry.flights[run])
-        for entry, run in self.flights():
+        for entry, run in self.in_flight():
+            self.send_start(entry, entry.in_flight[run])
+        for entry, run in self.in_flight():
             self.send_end(entry, run)
 
     def settle_down(self) -> None:
--- a/tests/unit/ledger/test_stateful_ledger.py
+++ b/tests/unit/ledger/test_stateful_ledger.py
@@ -109,11 +109,11 @@
         if sidecar.alive and start.run not in self.oracle.refused:
             sidecar.start(start)
 
-    @precondition(lambda self: self.flights())
+    @precondition(lambda self: self.in_flight())
     @rule(which=picks)
     def ask_again(self, which: int) -> None:
-        entry, run = pick(self.flights(), which)
-        self.send_start(entry, entry.flights[run])
+        entry, run = pick(self.in_flight(), which)
+        self.send_start(entry, entry.in_flight[run])
 
     @precondition(lambda self: any(item.running for item in self.living()))
     @rule(which=picks, count=integers(1, 4))
@@ -124,22 +124,22 @@
                 sidecar, run = pick(running, which)
                 sidecar.finish(run)
 
-    @precondition(lambda self: self.flights())
+    @precondition(lambda self: self.in_flight())
     @rule(which=picks)
     def end(self, which: int) -> None:
-        self.send_end(*pick(self.flights(), which))
+        self.send_end(*pick(self.in_flight(), which))
 
-    @precondition(lambda self: self.flights())
+    @precondition(lambda self: self.in_flight())
     @rule(which=picks, to=picks)
     def keep_receipt(self, which: int, to: int) -> None:
         """Have a peer in force keep a receipt that its entry has."""
-        entry, run = pick(self.flights(), which)
-        receipt = self.sidecar(entry.flights[run].ticket.sidecar).finished.get(run)
+        entry, run = pick(self.in_flight(), which)
+        receipt = self.sidecar(entry.in_flight[run].ticket.sidecar).finished.get(run)
         peer = pick(self.awake(), to)
         in_force = peer.incarnation in entry.holder.witnesses.get("", {})
         refusing = entry.incarnation in peer.holder.closed_senders
         if receipt and in_force and not refusing:
-            peer.kept[run] = receipt
+            peer.kept_receipts[run] = receipt
 
     @precondition(lambda self: self.awake() and self.living())
     @rule(at=picks, which=picks)
@@ -256,7 +256,7 @@
     @rule(at=picks, passing=mostly)
     def leave(self, at: int, passing: bool) -> None:
         entry = pick(self.serving(), at)
-        if not entry.flights:
+        if not entry.in_flight:
             self.pass_on(entry, fresh=True, passing=passing)
             entry.give_up_waiting()
             entry.leave()
@@ -389,7 +389,7 @@
             self.end_runs()
             self.settle_down()
         for entry in self.awake()[::2]:
-            if not entry.left and not entry.flights:
+            if not entry.is_stopped and not entry.in_flight:
                 entry.give_up_waiting()
                 entry.leave()
         self.settle_down()
