--- a/tests/unit/ledger/fuzz_fleet.py
+++ b/tests/unit/ledger/fuzz_fleet.py
@@ -15,7 +15,7 @@
 
 Item = TypeVar("Item")
 
-counted: Counter[str] = Counter()
+statistics: Counter[str] = Counter()
 
 
 def pick(items: Sequence[Item], index: int) -> Item:
@@ -31,12 +31,12 @@
         self.network = Network([], [])
         self.entries: list[FakeEntry] = []
         self.sidecars: list[FakeSidecar] = []
-        self.names = 0
-        self.operations = 0
+        self.name_count = 0
+        self.operator_batches = 0
 
     def name(self, kind: str) -> str:
-        self.names += 1
-        return f"{kind}{self.names}"
+        self.name_count += 1
+        return f"{kind}{self.name_count}"
 
     def new_entry(self) -> None:
         incarnation = Incarnation(self.name("entry#"))
@@ -48,18 +48,18 @@
         incarnation = Incarnation(self.name("sidecar#"))
         self.sidecars.append(FakeSidecar(incarnation, self.oracle))
 
-    def operate(self, record: TopUp | HoldResolve) -> None:
-        self.operations += 1
+    def append_by_operator(self, record: TopUp | HoldResolve) -> None:
+        self.operator_batches += 1
         writer = Incarnation("operator#1")
-        self.log.append(Batch(writer, self.operations, (record,)))
+        self.log.append(Batch(writer, self.operator_batches, (record,)))
 
-    def awake(self) -> list[FakeEntry]:
+    def active_entries(self) -> list[FakeEntry]:
         return [entry for entry in self.entries if entry.alive and not entry.paused]
 
-    def serving(self) -> list[FakeEntry]:
-        return [entry for entry in self.awake() if not entry.is_stopped]
+    def serving_entries(self) -> list[FakeEntry]:
+        return [entry for entry in self.active_entries() if not entry.is_stopped]
 
-    def living(self) -> list[FakeSidecar]:
+    def live_sidecars(self) -> list[FakeSidecar]:
         return [sidecar for sidecar in self.sidecars if sidecar.alive]
 
     def sidecar(self, incarnation: Incarnation) -> FakeSidecar:
@@ -68,7 +68,7 @@
 
     def tick(self, entry: FakeEntry) -> None:
         """Let an entry widen, plan, write and read to the end."""
-        sidecars = tuple(sidecar.incarnation for sidecar in self.living())
+        sidecars = tuple(sidecar.incarnation for sidecar in self.live_sidecars())
         alive = (other for other in self.entries if other.alive and other != entry)
         peers = tuple(other.incarnation for other in alive)
         if not entry.is_stopped:
@@ -78,7 +78,7 @@
             entry.write()
             entry.read()
 
-    def tick_only(self, entry: FakeEntry) -> None:
+    def write_and_read(self, entry: FakeEntry) -> None:
         """Write and read without new witnesses or requests."""
         entry.read()
         for _ in range(len(entry.queue)):
@@ -102,7 +102,9 @@
             entry.ended(run, ticket.amount, held=True)
 
     def in_flight(self) -> list[tuple[FakeEntry, RunId]]:
-        return [(entry, run) for entry in self.awake() for run in entry.in_flight]
+        return [
+            (entry, run) for entry in self.active_entries() for run in entry.in_flight
+        ]
 
     def closed_and_witness(self, entry: FakeEntry) -> list[tuple[Incarnation, str]]:
         """Return open witnesses of the closed holders that an entry knows."""
@@ -120,6 +122,6 @@
         for sidecar in self.sidecars:
             if sidecar.incarnation == witness:
                 entry.request_close_ack(holder, sidecar)
-        for peer in self.awake():
+        for peer in self.active_entries():
             if peer.incarnation == witness:
                 peer.acknowledge_close(holder)
--- a/tests/unit/ledger/fuzz_traffic.py
+++ b/tests/unit/ledger/fuzz_traffic.py
@@ -3,7 +3,7 @@
 from clementinebend_records.identifiers import GrantId, RequestKey, RunId
 from clementinebend_records.records import HoldResolve
 from tests.unit.ledger.fuzz_entry import FakeEntry
-from tests.unit.ledger.fuzz_fleet import Fleet, counted, pick
+from tests.unit.ledger.fuzz_fleet import Fleet, pick, statistics
 from tests.unit.ledger.fuzz_oracle import Request
 
 
@@ -28,7 +28,7 @@
         ended: int,
     ) -> None:
         """Serve some requests at one entry, and leave some unfinished."""
-        entry = pick(self.serving(), at)
+        entry = pick(self.serving_entries(), at)
         for index in range(count):
             self.submit(at, to + index, budget, cost, index, False)
         for run in [*entry.in_flight][:finished]:
@@ -51,7 +51,7 @@
         message = sender.send_transfer(budget, transfer, receiver.incarnation, amount)
         if not message.amount:
             return False
-        counted["transferred"] += 1
+        statistics["transferred"] += 1
         self.network.gives.append(message)
         self.oracle.parts[transfer] = message.grant
         if arrives:
@@ -61,8 +61,8 @@
     def start_run(
         self, key: RequestKey, at: int, to: int, slack: int, lost: bool
     ) -> None:
-        entry = pick(self.serving(), at)
-        sidecar = pick(self.living(), to).incarnation
+        entry = pick(self.serving_entries(), at)
+        sidecar = pick(self.live_sidecars(), to).incarnation
         budget, cost = self.oracle.requests[key]
         run = RunId(self.name("run"))
         start = entry.submit(run, key, budget, cost + slack, sidecar)
@@ -70,22 +70,22 @@
             self.tick(entry)
             start = entry.submit(run, key, budget, cost + slack, sidecar)
         if start is None:
-            counted["no grant"] += 1
+            statistics["no grant"] += 1
             return
-        counted["reserved"] += 1
+        statistics["reserved"] += 1
         self.network.starts.append(start)
         if not lost:
             self.send_start(entry, start)
 
     def serve_at(self, entry: FakeEntry, to: int, budget: str) -> None:
         """Serve at one entry, whether or not it has read its own close."""
-        if entry in self.serving() and self.living():
-            at = self.serving().index(entry)
+        if entry in self.serving_entries() and self.live_sidecars():
+            at = self.serving_entries().index(entry)
             self.serve_requests(at, to, budget, 3, 4, 3, 2)
 
     def finish_runs(self, entry: FakeEntry) -> None:
         """End the runs of one holder, so that its sidecars can acknowledge."""
-        for sidecar in self.living():
+        for sidecar in self.live_sidecars():
             for run, start in list(sidecar.running.items()):
                 if start.ticket.holder == entry.incarnation:
                     sidecar.finish(run)
@@ -95,7 +95,7 @@
 
         A fresh receiver has no other grant, so it spends from the part.
         """
-        if not passing or sender not in self.serving():
+        if not passing or sender not in self.serving_entries():
             return
         if fresh:
             self.new_entry()
@@ -115,12 +115,12 @@
         """Execute a run at an entry that does not read, write or learn of it."""
         key, run = RequestKey(self.name("key")), RunId(self.name("run"))
         self.oracle.requests[key] = Request(budget, 4)
-        sidecars = self.living()
-        if entry not in self.serving() or not sidecars:
+        sidecars = self.live_sidecars()
+        if entry not in self.serving_entries() or not sidecars:
             return
         start = entry.submit(run, key, budget, 4, sidecars[-1].incarnation)
         if start is not None:
-            counted["reserved"] += 1
+            statistics["reserved"] += 1
             self.send_start(entry, start)
         if run in sidecars[-1].running:
             sidecars[-1].finish(run)
@@ -129,10 +129,10 @@
         """Return entries with free tokens, of which budget, and a peer."""
         return [
             (entry, budget, peer)
-            for entry in self.awake()
+            for entry in self.active_entries()
             for budget, use in entry.holder.budgets.items()
             if any(own["free"] > 0 for own in use["grants"].values())
-            for peer in self.awake()
+            for peer in self.active_entries()
             if peer.incarnation in entry.holder.witnesses.get("", {})
         ]
 
@@ -148,7 +148,7 @@
                 sidecar.start(start)
 
     def end_runs(self) -> None:
-        for sidecar in self.living():
+        for sidecar in self.live_sidecars():
             for run in list(sidecar.running):
                 sidecar.finish(run)
         for entry, run in self.in_flight():
@@ -157,14 +157,14 @@
             self.send_end(entry, run)
 
     def settle_down(self) -> None:
-        for entry in self.awake():
+        for entry in self.active_entries():
             self.tick(entry)
 
     def end_holds(self) -> None:
         """Have an operator free all that is held."""
         for budget, entry in self.oracle.state.budgets.items():
             for subject in [*entry["holds"], *entry["unheld"]]:
-                self.operate(HoldResolve(budget, subject, 0, "operator"))
+                self.append_by_operator(HoldResolve(budget, subject, 0, "operator"))
 
     def close_all(self) -> None:
         self.new_entry()
@@ -172,14 +172,14 @@
         closer.read()
         for entry in self.entries[:-1]:
             closer.close(entry.incarnation)
-        self.tick_only(closer)
+        self.write_and_read(closer)
         while known := self.closed_and_witness(closer):
             before = len(self.log.batches)
             for holder, witness in known:
                 self.notify(closer, holder, witness)
-            for entry in self.awake():
-                self.tick_only(entry)
+            for entry in self.active_entries():
+                self.write_and_read(entry)
             closer.read()
             assert len(self.log.batches) > before
         closer.leave()
-        self.tick_only(closer)
+        self.write_and_read(closer)
--- a/tests/unit/ledger/test_stateful_ledger.py
+++ b/tests/unit/ledger/test_stateful_ledger.py
@@ -23,7 +23,7 @@
     RequestKey,
 )
 from clementinebend_records.records import HoldResolve, TopUp
-from tests.unit.ledger.fuzz_fleet import counted, pick
+from tests.unit.ledger.fuzz_fleet import pick, statistics
 from tests.unit.ledger.fuzz_traffic import BusyFleet
 
 FUZZING = bool(environ.get("CLEMENTINEBEND_FUZZ"))
@@ -51,13 +51,13 @@
         for _ in range(SIDECARS):
             self.new_sidecar()
         for budget in BUDGETS:
-            self.operate(TopUp(budget, "first", amount, "operator"))
+            self.append_by_operator(TopUp(budget, "first", amount, "operator"))
         for entry in self.entries:
             self.tick(entry)
 
     # Requests
 
-    @precondition(lambda self: self.serving() and self.living())
+    @precondition(lambda self: self.serving_entries() and self.live_sidecars())
     @rule(
         at=picks,
         to=picks,
@@ -71,14 +71,14 @@
     ) -> None:
         self.submit(at, to, budget, cost, slack, lost)
 
-    @precondition(lambda self: self.serving() and self.oracle.requests)
+    @precondition(lambda self: self.serving_entries() and self.oracle.requests)
     @rule(at=picks, to=picks, which=picks, slack=integers(0, 20), lost=booleans())
     def retry(self, at: int, to: int, which: int, slack: int, lost: bool) -> None:
         key = pick(list(self.oracle.requests), which)
-        if self.living() and key not in self.oracle.resolved:
+        if self.live_sidecars() and key not in self.oracle.resolved:
             self.start_run(key, at, to, slack, lost)
 
-    @precondition(lambda self: self.serving() and self.living())
+    @precondition(lambda self: self.serving_entries() and self.live_sidecars())
     @rule(
         at=picks,
         to=picks,
@@ -115,11 +115,13 @@
         entry, run = pick(self.in_flight(), which)
         self.send_start(entry, entry.in_flight[run])
 
-    @precondition(lambda self: any(item.running for item in self.living()))
+    @precondition(lambda self: any(item.running for item in self.live_sidecars()))
     @rule(which=picks, count=integers(1, 4))
     def finish(self, which: int, count: int) -> None:
         for _ in range(count):
-            running = [(item, run) for item in self.living() for run in item.running]
+            running = [
+                (item, run) for item in self.live_sidecars() for run in item.running
+            ]
             if running:
                 sidecar, run = pick(running, which)
                 sidecar.finish(run)
@@ -135,24 +137,24 @@
         """Have a peer in force keep a receipt that its entry has."""
         entry, run = pick(self.in_flight(), which)
         receipt = self.sidecar(entry.in_flight[run].ticket.sidecar).finished.get(run)
-        peer = pick(self.awake(), to)
+        peer = pick(self.active_entries(), to)
         in_force = peer.incarnation in entry.holder.witnesses.get("", {})
         refusing = entry.incarnation in peer.holder.closed_senders
         if receipt and in_force and not refusing:
             peer.kept_receipts[run] = receipt
 
-    @precondition(lambda self: self.awake() and self.living())
+    @precondition(lambda self: self.active_entries() and self.live_sidecars())
     @rule(at=picks, which=picks)
     def receipts_logged(self, at: int, which: int) -> None:
         """Have a sidecar forget the receipts that an entry read back."""
-        entry = pick(self.awake(), at)
-        sidecar = pick(self.living(), which)
+        entry = pick(self.active_entries(), at)
+        sidecar = pick(self.live_sidecars(), which)
         billed = set(entry.state.billed_runs.values())
         sidecar.logged |= billed & set(sidecar.finished)
 
     # Log
 
-    @precondition(lambda self: self.awake())
+    @precondition(lambda self: self.active_entries())
     @rule(
         at=picks,
         count=integers(1, MOST_ENTRIES),
@@ -162,20 +164,20 @@
     def go_on(self, at: int, count: int, budget: str, passing: bool) -> None:
         """Let entries do what they do without faults."""
         for index in range(count):
-            self.pass_on(pick(self.awake(), at), fresh=False, passing=passing)
-            self.tick(pick(self.awake(), at + index))
-            if self.serving() and self.living():
+            self.pass_on(pick(self.active_entries(), at), fresh=False, passing=passing)
+            self.tick(pick(self.active_entries(), at + index))
+            if self.serving_entries() and self.live_sidecars():
                 self.serve(at + index, at, budget, 3, 2, 4, 4)
 
-    @precondition(lambda self: self.awake())
+    @precondition(lambda self: self.active_entries())
     @rule(at=picks, delay=sampled_from((0.0, 0.5, 5.0)))
     def plan(self, at: int, delay: float) -> None:
-        pick(self.awake(), at).plan(delay)
+        pick(self.active_entries(), at).plan(delay)
 
-    @precondition(lambda self: any(entry.queue for entry in self.awake()))
+    @precondition(lambda self: any(entry.queue for entry in self.active_entries()))
     @rule(at=picks, delayed=booleans())
     def write(self, at: int, delayed: bool) -> None:
-        writers = [entry for entry in self.awake() if entry.queue]
+        writers = [entry for entry in self.active_entries() if entry.queue]
         pick(writers, at).write(delayed)
 
     @precondition(lambda self: self.log.on_their_way)
@@ -192,26 +194,26 @@
         """Append a batch again that took effect long ago."""
         self.log.append(pick(self.log.batches, which))
 
-    @precondition(lambda self: self.awake())
+    @precondition(lambda self: self.active_entries())
     @rule(at=picks, limit=integers(1, 4))
     def read(self, at: int, limit: int) -> None:
-        pick(self.awake(), at).read(limit)
+        pick(self.active_entries(), at).read(limit)
 
-    @precondition(lambda self: self.serving())
+    @precondition(lambda self: self.serving_entries())
     @rule(at=picks, which=picks, budget=sampled_from(BUDGETS))
     def widen_and_serve(self, at: int, which: int, budget: str) -> None:
         """Ask for a new sidecar, and use it only if it is in force."""
         self.new_sidecar()
-        entry = pick(self.serving(), at)
+        entry = pick(self.serving_entries(), at)
         entry.widen((self.sidecars[-1].incarnation,), ())
-        at, to = self.serving().index(entry), len(self.living()) - 1
+        at, to = self.serving_entries().index(entry), len(self.live_sidecars()) - 1
         for index in range(3):
             self.request(at, to, budget, 2, index, False)
 
-    @precondition(lambda self: self.awake())
+    @precondition(lambda self: self.active_entries())
     @rule(at=picks)
     def checkpoint(self, at: int) -> None:
-        pick(self.awake(), at).checkpoint()
+        pick(self.active_entries(), at).checkpoint()
 
     @rule()
     def trim(self) -> None:
@@ -225,51 +227,51 @@
 
     # Lives
 
-    @precondition(lambda self: len(self.awake()) > 1)
+    @precondition(lambda self: len(self.active_entries()) > 1)
     @rule(at=picks)
     def kill_entry(self, at: int) -> None:
-        pick(self.awake(), at).alive = False
+        pick(self.active_entries(), at).alive = False
         self.new_entry()
 
-    @precondition(lambda self: len(self.awake()) > 1)
+    @precondition(lambda self: len(self.active_entries()) > 1)
     @rule(at=picks)
     def pause_entry(self, at: int) -> None:
-        pick(self.awake(), at).paused = True
+        pick(self.active_entries(), at).paused = True
 
     @rule()
     def wake_entries(self) -> None:
         for entry in self.entries:
             entry.paused = False
 
-    @precondition(lambda self: len(self.awake()) < MOST_ENTRIES)
+    @precondition(lambda self: len(self.active_entries()) < MOST_ENTRIES)
     @rule()
     def cold_entry(self) -> None:
         self.new_entry()
 
-    @precondition(lambda self: self.living())
+    @precondition(lambda self: self.live_sidecars())
     @rule(which=picks)
     def replace_sidecar(self, which: int) -> None:
-        pick(self.living(), which).kill()
+        pick(self.live_sidecars(), which).kill()
         self.new_sidecar()
 
-    @precondition(lambda self: self.serving())
+    @precondition(lambda self: self.serving_entries())
     @rule(at=picks, passing=mostly)
     def leave(self, at: int, passing: bool) -> None:
-        entry = pick(self.serving(), at)
+        entry = pick(self.serving_entries(), at)
         if not entry.in_flight:
             self.pass_on(entry, fresh=True, passing=passing)
             entry.give_up_waiting()
             entry.leave()
             self.new_entry()
-            self.tick_only(entry)
+            self.write_and_read(entry)
 
-    @precondition(lambda self: self.awake())
+    @precondition(lambda self: self.active_entries())
     @rule(at=picks, victim=picks)
     def close(self, at: int, victim: int) -> None:
-        entry = pick(self.awake(), at)
+        entry = pick(self.active_entries(), at)
         entry.close(pick(self.entries, victim).incarnation)
 
-    @precondition(lambda self: len(self.awake()) > 1)
+    @precondition(lambda self: len(self.active_entries()) > 1)
     @rule(
         at=picks,
         victim=picks,
@@ -294,10 +296,10 @@
         ``silent`` leaves out the receiver of its last part, as a peer and, if
         that dies too, as a holder.
         """
-        closed = pick(self.serving() or self.entries, victim)
+        closed = pick(self.serving_entries() or self.entries, victim)
         self.serve_at(closed, which, budget)
         self.pass_on(closed, fresh=True, passing=passing)
-        others = [entry for entry in self.awake() if entry != closed]
+        others = [entry for entry in self.active_entries() if entry != closed]
         if not others:
             return
         closer, receiver = pick(others, at), self.entries[-1]
@@ -307,22 +309,22 @@
             closer.close(entry.incarnation)
         self.finish_runs(closed)
         for _ in range(3):
-            self.tick_only(closer)
+            self.write_and_read(closer)
             for holder, witness in self.closed_and_witness(closer):
                 asked = witness == receiver.incarnation
                 if not (silent and (asked or holder == receiver.incarnation)):
                     self.notify(closer, holder, witness)
             for entry in others:
-                self.tick_only(entry)
+                self.write_and_read(entry)
         self.pass_on(closed, fresh=False, passing=passing)
         self.serve_at(closed, which, budget)
         for entry in others:
             self.serve_at(entry, which, budget)
 
-    @precondition(lambda self: self.awake())
+    @precondition(lambda self: self.active_entries())
     @rule(at=picks, which=picks, count=integers(1, 5))
     def close_notice(self, at: int, which: int, count: int) -> None:
-        entry = pick(self.awake(), at)
+        entry = pick(self.active_entries(), at)
         known = self.closed_and_witness(entry)
         for step in range(min(count, len(known))):
             self.notify(entry, *pick(known, which + step))
@@ -331,7 +333,7 @@
 
     @rule(budget=sampled_from(BUDGETS), which=integers(0, 3), amount=amounts)
     def top_up(self, budget: str, which: int, amount: int) -> None:
-        self.operate(TopUp(budget, f"top-up{which}", amount, "operator"))
+        self.append_by_operator(TopUp(budget, f"top-up{which}", amount, "operator"))
 
     @precondition(lambda self: self.givers())
     @rule(
@@ -350,7 +352,7 @@
             return
         if used:
             self.serve_at(receiver, which, budget)
-        if dies and len(self.awake()) > 1:
+        if dies and len(self.active_entries()) > 1:
             sender.alive = False
             self.new_entry()
 
@@ -358,7 +360,7 @@
     @rule(which=picks)
     def late_transfer(self, which: int) -> None:
         message = pick(self.network.gives, which)
-        for entry in self.awake():
+        for entry in self.active_entries():
             entry.receive_transfer(message)
 
     @precondition(lambda self: self.oracle.holds())
@@ -371,31 +373,33 @@
         budget, cost = self.oracle.requests[key]
         charge = cost if key in self.oracle.executed(budget) else 0
         hold = self.oracle.state.budgets[budget]["holds"][key]
-        self.operate(HoldResolve(budget, key, min(charge, hold), "operator"))
-        counted["written off"] += 1
+        self.append_by_operator(HoldResolve(budget, key, min(charge, hold), "operator"))
+        statistics["written off"] += 1
 
     @invariant()
     def promises_hold(self) -> None:
-        counted["checks"] += 1
+        statistics["checks"] += 1
         self.oracle.check()
 
     def teardown(self) -> None:
-        counted["offsets"] += len(self.log.batches)
-        counted["executed"] += len(self.oracle.executions)
-        counted["refused"] += len(self.oracle.refused)
-        counted["sidecars lost"] += self.oracle.sidecars_lost
+        statistics["offsets"] += len(self.log.batches)
+        statistics["executed"] += len(self.oracle.executions)
+        statistics["refused"] += len(self.oracle.refused)
+        statistics["sidecars lost"] += self.oracle.sidecars_lost
         self.heal()
         for _ in range(3):
             self.end_runs()
             self.settle_down()
-        for entry in self.awake()[::2]:
+        for entry in self.active_entries()[::2]:
             if not entry.is_stopped and not entry.in_flight:
                 entry.give_up_waiting()
                 entry.leave()
         self.settle_down()
         self.close_all()
         self.oracle.check_quiet()
-        receipts = (item for one in self.living() for item in one.finished.values())
+        receipts = (
+            item for one in self.live_sidecars() for item in one.finished.values()
+        )
         assert not {receipt.key for receipt in receipts} & self.oracle.holds()
         self.end_holds()
         self.oracle.check_settled()
@@ -404,7 +408,7 @@
 @pytest.fixture(scope="module", autouse=True)
 def count_steps() -> Iterator[None]:
     yield
-    print(f"\nledger fuzzing: {dict(counted)}")  # noqa: T201
+    print(f"\nledger fuzzing: {dict(statistics)}")  # noqa: T201
 
 
 def test_ledger_against_oracle() -> None:
@@ -418,4 +422,4 @@
             suppress_health_check=list(HealthCheck),
         ),
     )
-    assert counted["executed"] > 0
+    assert statistics["executed"] > 0
