--- a/tests/unit/ledger/fuzz_oracle.py
+++ b/tests/unit/ledger/fuzz_oracle.py
@@ -50,8 +50,8 @@
         self.bills: list[Bill] = []
         self.overruns = 0
         self.resolved: dict[RequestKey, int] = {}
-        self.parts: dict[GrantId, GrantId] = {}
-        self.logged_parts: set[GrantId] = set()
+        self.parent_grants: dict[GrantId, GrantId] = {}
+        self.logged_transfers: set[GrantId] = set()
         self.sidecars_lost = 0
 
     def on_append(self, offset: int, batch: Batch) -> None:
@@ -63,7 +63,7 @@
         self.bills += [item.bill for item in funded + unfunded]
         self.overruns += sum(isinstance(item, OverrunDetected) for item in outcomes)
         applied = (item for item in outcomes if isinstance(item, TransferApplied))
-        self.logged_parts |= {item.transfer for item in applied}
+        self.logged_transfers |= {item.transfer for item in applied}
         resolves = [row for row in batch.records if isinstance(row, HoldResolve)]
         self.resolved |= {RequestKey(row.subject): row.charge for row in resolves}
 
@@ -82,7 +82,7 @@
         """Return the keys whose cost a hold covers: of a run, its grant, its parent."""
         holds = self.holds()
         runs = self.executions.values()
-        by_grant = {run.key for run in runs if self.backing(run.grant) in holds}
+        by_grant = {run.key for run in runs if self.covering_grant(run.grant) in holds}
         return by_grant | {key for key in self.requests if key in holds}
 
     def check(self) -> None:
@@ -96,10 +96,10 @@
             executed = self.executed(budget)
             spent = sum(self.requests[key].cost for key in executed)
             assert spent <= accounts.topped_up
-            bare = sum(self.requests[key].cost for key in executed - covered)
-            assert bare + accounts.held <= accounts.topped_up
+            not_held = sum(self.requests[key].cost for key in executed - covered)
+            assert not_held + accounts.held <= accounts.topped_up
             assert accounts.billed <= spent + self.charged(budget)
-        self.check_backing(covered)
+        self.check_grant_cover(covered)
         for bill in self.bills:
             assert bill.run not in self.refused
         known = [bill for bill in self.bills if not bill.held]
@@ -113,23 +113,27 @@
         grants = self.state.grants.values()
         return sum(item["remainder"] for item in grants if item["budget"] == budget)
 
-    def check_backing(self, covered: set[RequestKey]) -> None:
+    def check_grant_cover(self, covered: set[RequestKey]) -> None:
         """Check that each unbilled cost is set aside under its own grant."""
         billed = {bill.key for bill in self.bills if not bill.held}
         settled = billed | covered | set(self.resolved)
         unbilled = {run for run in self.executions.values() if run.key not in settled}
         costs: Counter[GrantId] = Counter()
         for key, grant in unbilled:
-            costs[self.backing(grant)] += self.requests[key].cost
+            costs[self.covering_grant(grant)] += self.requests[key].cost
         for grant, cost in costs.items():
             assert grant in self.state.grants
             assert cost <= self.state.grants[grant]["remainder"]
 
-    def backing(self, grant: GrantId) -> GrantId:
+    def covering_grant(self, grant: GrantId) -> GrantId:
         """Return the grant that covers a run: of a part not logged, its parent."""
-        return grant if grant in self.logged_parts else self.parts.get(grant, grant)
+        return (
+            grant
+            if grant in self.logged_transfers
+            else self.parent_grants.get(grant, grant)
+        )
 
-    def in_parents_holds(self, budget: str) -> int:
+    def covered_by_parent_holds(self, budget: str) -> int:
         """Return what runs of parts cost that only their parents' holds cover.
 
         Nobody lived to log such a part, so replay cannot know whose hold has
@@ -141,19 +145,19 @@
             self.requests[key].cost
             for key, grant in runs
             if self.requests[key].budget == budget
-            and self.backing(grant) != grant
-            and self.backing(grant) in holds
+            and self.covering_grant(grant) != grant
+            and self.covering_grant(grant) in holds
         )
 
-    def checked_unheld(self, budget: str) -> int:
+    def check_unheld(self, budget: str) -> int:
         """Return what waits to be held: only of held bills that nobody proved."""
         entry = self.state.budgets[budget]
         proved = {bill.key for bill in self.bills if not bill.held}
-        doubts = {bill.key: bill.amount for bill in self.bills if bill.held}
+        held_amounts = {bill.key: bill.amount for bill in self.bills if bill.held}
         for name, amount in entry["unheld"].items():
             key = RequestKey(name)
             assert key not in proved
-            assert amount + entry["holds"].get(key, 0) == doubts[key]
+            assert amount + entry["holds"].get(key, 0) == held_amounts[key]
             assert budget_summary(self.state, budget).available == 0
         return sum(entry["unheld"].values())
 
@@ -162,7 +166,7 @@
         charges = self.resolved.items()
         return sum(n for key, n in charges if n and self.requests[key].budget == budget)
 
-    def check_quiet(self) -> None:
+    def check_quiescent(self) -> None:
         """Check what holds once all is healed, closed and acknowledged."""
         self.check()
         assert not self.state.grants
@@ -174,9 +178,9 @@
             executed = self.executed(budget)
             assert executed - billed <= covered
             costs = sum(self.requests[key].cost for key in executed & billed)
-            waiting = accounts.shortfall - self.checked_unheld(budget)
+            waiting = accounts.shortfall - self.check_unheld(budget)
             assert accounts.billed + waiting == costs + self.charged(budget)
-            assert 0 <= waiting <= self.in_parents_holds(budget)
+            assert 0 <= waiting <= self.covered_by_parent_holds(budget)
             if not self.sidecars_lost:
                 assert accounts.held == 0
 
--- a/tests/unit/ledger/fuzz_traffic.py
+++ b/tests/unit/ledger/fuzz_traffic.py
@@ -53,7 +53,7 @@
             return False
         statistics["transferred"] += 1
         self.network.gives.append(message)
-        self.oracle.parts[transfer] = message.grant
+        self.oracle.parent_grants[transfer] = message.grant
         if arrives:
             receiver.receive_transfer(message)
         return True
--- a/tests/unit/ledger/test_fuzz_oracle.py
+++ b/tests/unit/ledger/test_fuzz_oracle.py
@@ -44,8 +44,8 @@
 
 def test_bill_of_a_part_that_nobody_logged_waits_for_its_parents_hold() -> None:
     oracle = lost_parent()
-    oracle.parts[GrantId("t")] = GrantId("g")
-    oracle.check_quiet()
+    oracle.parent_grants[GrantId("t")] = GrantId("g")
+    oracle.check_quiescent()
     with pytest.raises(AssertionError):
         oracle.check_settled()
     end = HoldResolve(TEAM, "g", 0, "operator")
@@ -55,15 +55,15 @@
 
 def test_shortfall_that_no_parents_hold_covers_is_refused() -> None:
     with pytest.raises(AssertionError):
-        lost_parent().check_quiet()
+        lost_parent().check_quiescent()
 
 
 def test_held_bill_that_the_budget_has_no_tokens_for_waits() -> None:
     oracle = lost_parent()
-    oracle.parts[GrantId("t")] = GrantId("g")
+    oracle.parent_grants[GrantId("t")] = GrantId("g")
     doubt = settle(bill(3, "l", "gone", held=True))
     oracle.on_append(1, Batch(OPERATOR, 2, (doubt,)))
-    oracle.check_quiet()
+    oracle.check_quiescent()
     ends = (HoldResolve(TEAM, name, 0, "operator") for name in ("g", "l"))
     oracle.on_append(2, Batch(OPERATOR, 3, tuple(ends)))
     oracle.check_settled()
--- a/tests/unit/ledger/test_stateful_ledger.py
+++ b/tests/unit/ledger/test_stateful_ledger.py
@@ -396,7 +396,7 @@
                 entry.leave()
         self.settle_down()
         self.close_all()
-        self.oracle.check_quiet()
+        self.oracle.check_quiescent()
         receipts = (
             item for one in self.live_sidecars() for item in one.finished.values()
         )
