--- a/tests/unit/ledger/fuzz_entry.py
+++ b/tests/unit/ledger/fuzz_entry.py
@@ -79,7 +79,7 @@
         if not self.queue or self.log.outage or self.cut:
             return
         if delayed:
-            self.log.on_their_way.append(self.queue[0])
+            self.log.delayed_appends.append(self.queue[0])
         else:
             self.log.append(self.queue[0])
 
--- a/tests/unit/ledger/fuzz_traffic.py
+++ b/tests/unit/ledger/fuzz_traffic.py
@@ -7,7 +7,7 @@
 from tests.unit.ledger.fuzz_oracle import Request
 
 
-class BusyFleet(Fleet):
+class TrafficFleet(Fleet):
     """A fleet with traffic."""
 
     def submit(
@@ -38,7 +38,7 @@
         for run in [*entry.in_flight][:ended]:
             self.send_end(entry, run)
 
-    def give_part(
+    def transfer_tokens(
         self,
         sender: FakeEntry,
         budget: str,
@@ -52,7 +52,7 @@
         if not message.amount:
             return False
         statistics["transferred"] += 1
-        self.network.gives.append(message)
+        self.network.transfers.append(message)
         self.oracle.parent_grants[transfer] = message.grant
         if arrives:
             receiver.receive_transfer(message)
@@ -90,7 +90,9 @@
                 if start.ticket.holder == entry.incarnation:
                     sidecar.finish(run)
 
-    def pass_on(self, sender: FakeEntry, fresh: bool, passing: bool = True) -> None:
+    def transfer_and_use(
+        self, sender: FakeEntry, fresh: bool, passing: bool = True
+    ) -> None:
         """Pass a part from one entry, twice the message, and have it used.
 
         A fresh receiver has no other grant, so it spends from the part.
@@ -100,18 +102,18 @@
         if fresh:
             self.new_entry()
             self.tick(sender)
-        found = [item for item in self.givers() if item[0] == sender]
+        found = [item for item in self.transfer_candidates() if item[0] == sender]
         if not found:
             return
         _, budget, receiver = found[-1]
-        if not self.give_part(sender, budget, receiver, 10, arrives=True):
+        if not self.transfer_tokens(sender, budget, receiver, 10, arrives=True):
             return
-        self.use_part(receiver, budget)
-        self.use_part(receiver, budget)
-        receiver.receive_transfer(self.network.gives[-1])
-        self.use_part(receiver, budget)
+        self.run_on_transfer(receiver, budget)
+        self.run_on_transfer(receiver, budget)
+        receiver.receive_transfer(self.network.transfers[-1])
+        self.run_on_transfer(receiver, budget)
 
-    def use_part(self, entry: FakeEntry, budget: str) -> None:
+    def run_on_transfer(self, entry: FakeEntry, budget: str) -> None:
         """Execute a run at an entry that does not read, write or learn of it."""
         key, run = RequestKey(self.name("key")), RunId(self.name("run"))
         self.oracle.requests[key] = Request(budget, 4)
@@ -125,7 +127,7 @@
         if run in sidecars[-1].running:
             sidecars[-1].finish(run)
 
-    def givers(self) -> list[tuple[FakeEntry, str, FakeEntry]]:
+    def transfer_candidates(self) -> list[tuple[FakeEntry, str, FakeEntry]]:
         """Return entries with free tokens, of which budget, and a peer."""
         return [
             (entry, budget, peer)
@@ -136,11 +138,11 @@
             if peer.incarnation in entry.holder.witnesses.get("", {})
         ]
 
-    def heal(self) -> None:
+    def end_faults(self) -> None:
         self.log.outage = False
         for entry in self.entries:
             entry.cut = entry.paused = False
-        for batch in self.log.on_their_way:
+        for batch in self.log.delayed_appends:
             self.log.append(batch)
         for start in self.network.starts:
             sidecar = self.sidecar(start.ticket.sidecar)
@@ -156,7 +158,7 @@
         for entry, run in self.in_flight():
             self.send_end(entry, run)
 
-    def settle_down(self) -> None:
+    def tick_all(self) -> None:
         for entry in self.active_entries():
             self.tick(entry)
 
--- a/tests/unit/ledger/fuzz_world.py
+++ b/tests/unit/ledger/fuzz_world.py
@@ -28,7 +28,7 @@
         self.oracle = oracle
         self.batches: list[Batch] = []
         self.oldest = 0
-        self.on_their_way: list[Batch] = []
+        self.delayed_appends: list[Batch] = []
         self.outage = False
 
     def append(self, batch: Batch) -> None:
@@ -122,4 +122,4 @@
     """Messages on their way: each may arrive late, twice or never."""
 
     starts: list[Start]
-    gives: list[TransferGive]
+    transfers: list[TransferGive]
--- a/tests/unit/ledger/test_stateful_ledger.py
+++ b/tests/unit/ledger/test_stateful_ledger.py
@@ -24,7 +24,7 @@
 )
 from clementinebend_records.records import HoldResolve, TopUp
 from tests.unit.ledger.fuzz_fleet import pick, statistics
-from tests.unit.ledger.fuzz_traffic import BusyFleet
+from tests.unit.ledger.fuzz_traffic import TrafficFleet
 
 FUZZING = bool(environ.get("CLEMENTINEBEND_FUZZ"))
 BUDGETS = ("blue", "red")
@@ -37,12 +37,12 @@
 mostly = sampled_from((True, True, True, False))
 
 
-class LedgerMachine(BusyFleet, RuleBasedStateMachine):
+class LedgerMachine(TrafficFleet, RuleBasedStateMachine):
     """The fleet around one ledger stream."""
 
     def __init__(self) -> None:
         RuleBasedStateMachine.__init__(self)
-        BusyFleet.__init__(self)
+        TrafficFleet.__init__(self)
 
     @initialize(amount=sampled_from((60, 200, 1000)))
     def begin(self, amount: int) -> None:
@@ -164,7 +164,9 @@
     def go_on(self, at: int, count: int, budget: str, passing: bool) -> None:
         """Let entries do what they do without faults."""
         for index in range(count):
-            self.pass_on(pick(self.active_entries(), at), fresh=False, passing=passing)
+            self.transfer_and_use(
+                pick(self.active_entries(), at), fresh=False, passing=passing
+            )
             self.tick(pick(self.active_entries(), at + index))
             if self.serving_entries() and self.live_sidecars():
                 self.serve(at + index, at, budget, 3, 2, 4, 4)
@@ -180,11 +182,11 @@
         writers = [entry for entry in self.active_entries() if entry.queue]
         pick(writers, at).write(delayed)
 
-    @precondition(lambda self: self.log.on_their_way)
+    @precondition(lambda self: self.log.delayed_appends)
     @rule(which=picks, lost=booleans())
     def arrive(self, which: int, lost: bool) -> None:
-        batch = pick(self.log.on_their_way, which)
-        self.log.on_their_way.remove(batch)
+        batch = pick(self.log.delayed_appends, which)
+        self.log.delayed_appends.remove(batch)
         if not lost:
             self.log.append(batch)
 
@@ -259,7 +261,7 @@
     def leave(self, at: int, passing: bool) -> None:
         entry = pick(self.serving_entries(), at)
         if not entry.in_flight:
-            self.pass_on(entry, fresh=True, passing=passing)
+            self.transfer_and_use(entry, fresh=True, passing=passing)
             entry.give_up_waiting()
             entry.leave()
             self.new_entry()
@@ -298,7 +300,7 @@
         """
         closed = pick(self.serving_entries() or self.entries, victim)
         self.serve_at(closed, which, budget)
-        self.pass_on(closed, fresh=True, passing=passing)
+        self.transfer_and_use(closed, fresh=True, passing=passing)
         others = [entry for entry in self.active_entries() if entry != closed]
         if not others:
             return
@@ -316,7 +318,7 @@
                     self.notify(closer, holder, witness)
             for entry in others:
                 self.write_and_read(entry)
-        self.pass_on(closed, fresh=False, passing=passing)
+        self.transfer_and_use(closed, fresh=False, passing=passing)
         self.serve_at(closed, which, budget)
         for entry in others:
             self.serve_at(entry, which, budget)
@@ -335,7 +337,7 @@
     def top_up(self, budget: str, which: int, amount: int) -> None:
         self.append_by_operator(TopUp(budget, f"top-up{which}", amount, "operator"))
 
-    @precondition(lambda self: self.givers())
+    @precondition(lambda self: self.transfer_candidates())
     @rule(
         which=integers(0, 999),
         amount=amounts,
@@ -347,8 +349,8 @@
         self, which: int, amount: int, arrives: bool, used: bool, dies: bool
     ) -> None:
         """Pass a part of a grant: late, used at once, or by a sender that dies."""
-        sender, budget, receiver = pick(self.givers(), which)
-        if not self.give_part(sender, budget, receiver, amount, arrives):
+        sender, budget, receiver = pick(self.transfer_candidates(), which)
+        if not self.transfer_tokens(sender, budget, receiver, amount, arrives):
             return
         if used:
             self.serve_at(receiver, which, budget)
@@ -356,10 +358,10 @@
             sender.alive = False
             self.new_entry()
 
-    @precondition(lambda self: self.network.gives)
+    @precondition(lambda self: self.network.transfers)
     @rule(which=picks)
     def late_transfer(self, which: int) -> None:
-        message = pick(self.network.gives, which)
+        message = pick(self.network.transfers, which)
         for entry in self.active_entries():
             entry.receive_transfer(message)
 
@@ -377,7 +379,7 @@
         statistics["written off"] += 1
 
     @invariant()
-    def promises_hold(self) -> None:
+    def invariants_hold(self) -> None:
         statistics["checks"] += 1
         self.oracle.check()
 
@@ -386,15 +388,15 @@
         statistics["executed"] += len(self.oracle.executions)
         statistics["refused"] += len(self.oracle.refused)
         statistics["sidecars lost"] += self.oracle.sidecars_lost
-        self.heal()
+        self.end_faults()
         for _ in range(3):
             self.end_runs()
-            self.settle_down()
+            self.tick_all()
         for entry in self.active_entries()[::2]:
             if not entry.is_stopped and not entry.in_flight:
                 entry.give_up_waiting()
                 entry.leave()
-        self.settle_down()
+        self.tick_all()
         self.close_all()
         self.oracle.check_quiescent()
         receipts = (
