--- a/tests/unit/ledger/scripts.py
+++ b/tests/unit/ledger/scripts.py
@@ -27,12 +27,12 @@
 TEAM = "team"
 ALICE = Incarnation("alice#1")
 BOB = Incarnation("bob#1")
-CAR = Incarnation("car#1")
-CAB = Incarnation("cab#1")
+SIDECAR = Incarnation("sidecar-1#1")
+SIDECAR_2 = Incarnation("sidecar-2#1")
 OPERATOR = Incarnation("operator#1")
 
 
-def typed(outcomes: Iterable[tuple[Any, ...]]) -> list[tuple[Any, ...]]:
+def with_type_names(outcomes: Iterable[tuple[Any, ...]]) -> list[tuple[Any, ...]]:
     """Return outcomes with their kinds, which tuples do not compare."""
     return [(type(outcome).__name__, *outcome) for outcome in outcomes]
 
--- a/tests/unit/ledger/test_claims.py
+++ b/tests/unit/ledger/test_claims.py
@@ -32,7 +32,7 @@
     ClaimVoid,
     Record,
 )
-from tests.unit.ledger.scripts import ALICE, BOB, top_up, typed
+from tests.unit.ledger.scripts import ALICE, BOB, top_up, with_type_names
 
 KEY, OTHER = RequestKey("k"), RequestKey("l")
 RUN, RUN_2 = RunId("r1"), RunId("r2")
@@ -53,21 +53,23 @@
         ClaimLost(KEY, RUN_2, RUN),
         ClaimIgnored("claim repeated"),
     ]
-    assert typed(outcomes) == typed(expected)
+    assert with_type_names(outcomes) == with_type_names(expected)
     assert claim_of(state, KEY) == ClaimView("body", ALICE, RUN, 0, None)
     assert claim_of(state, OTHER) is None
 
 
 def test_other_body_under_the_key_is_a_conflict() -> None:
     _, outcomes = apply_all(CLAIM, LATER._replace(body_digest="other"))
-    assert typed(outcomes[1:]) == typed([ClaimConflict(KEY, RUN_2, RUN)])
+    assert with_type_names(outcomes[1:]) == with_type_names(
+        [ClaimConflict(KEY, RUN_2, RUN)]
+    )
 
 
 def test_answer_is_recorded_once_and_only_for_the_winner() -> None:
     other = ANSWER._replace(run=RUN_2)
     again = ANSWER._replace(body=b"other")
     state, outcomes = apply_all(CLAIM, other, ANSWER, again)
-    assert typed(outcomes[1:]) == typed(
+    assert with_type_names(outcomes[1:]) == with_type_names(
         [
             ClaimIgnored("outcome of a run that has no claim"),
             ClaimRecorded(KEY, RUN),
@@ -82,7 +84,7 @@
 def test_void_by_the_claimant_frees_the_key_but_not_for_its_run() -> None:
     void = ClaimVoid(KEY, RUN, ALICE)
     _, outcomes = apply_all(CLAIM, void, CLAIM, LATER)
-    assert typed(outcomes[1:]) == typed(
+    assert with_type_names(outcomes[1:]) == with_type_names(
         [
             ClaimFreed(KEY, RUN),
             ClaimRefused(KEY, RUN),
@@ -93,7 +95,7 @@
 
 def test_void_before_any_claim_bars_that_run_only() -> None:
     _, outcomes = apply_all(ClaimVoid(KEY, RUN, BOB), CLAIM, LATER)
-    assert typed(outcomes[1:]) == typed(
+    assert with_type_names(outcomes[1:]) == with_type_names(
         [ClaimRefused(KEY, RUN), ClaimWon(KEY, RUN_2, BOB)]
     )
 
@@ -103,7 +105,7 @@
 )
 def test_void_by_another_is_ignored(void: ClaimVoid) -> None:
     _, outcomes = apply_all(CLAIM, void, LATER)
-    assert typed(outcomes[1:]) == typed(
+    assert with_type_names(outcomes[1:]) == with_type_names(
         [
             ClaimIgnored("void of another's claim"),
             ClaimLost(KEY, RUN_2, RUN),
--- a/tests/unit/ledger/test_fuzz_oracle.py
+++ b/tests/unit/ledger/test_fuzz_oracle.py
@@ -7,8 +7,8 @@
 from tests.unit.ledger.fuzz_oracle import Execution, Oracle, Request
 from tests.unit.ledger.scripts import (
     ALICE,
-    CAR,
     OPERATOR,
+    SIDECAR,
     TEAM,
     ack,
     bill,
@@ -34,11 +34,11 @@
     """Return one of a part that nobody logged; its parent's rest is held."""
     return oracle_of(
         top_up(10),
-        scope(ALICE, (CAR,)),
+        scope(ALICE, (SIDECAR,)),
         request(10),
         settle(bill(4, grant="t")),
         close(ALICE),
-        ack(ALICE, CAR, lost=True),
+        ack(ALICE, SIDECAR, lost=True),
     )
 
 
--- a/tests/unit/ledger/test_holder.py
+++ b/tests/unit/ledger/test_holder.py
@@ -34,8 +34,8 @@
 from tests.unit.ledger.scripts import (
     ALICE,
     BOB,
-    CAR,
     OPERATOR,
+    SIDECAR,
     TEAM,
     Script,
     close,
@@ -278,12 +278,12 @@
 def test_own_close_ends_all_grants_but_bills_still_go() -> None:
     holder, script = holding(50)
     holder, _ = reserve(holder, TEAM, RUN, 40, 0.0)
-    holder, scopes = widen(holder, (CAR,))
+    holder, scopes = widen(holder, (SIDECAR,))
     holder = feed(holder, script, *scopes)
     holder = on_outcome(holder, HolderClosed(BOB), 0.0)
     assert not holder.closed
     holder = on_outcome(holder, HolderClosed(ALICE), 0.0)
-    assert holder.closed and not has_witness(holder, "", CAR)
+    assert holder.closed and not has_witness(holder, "", SIDECAR)
     assert isinstance(reserve(holder, TEAM, RUN_2, 1, 0.0)[1], NeedsGrant)
     holder, _ = settle(holder, RUN, KEY, 20)
     _, rows = plan(holder, 0.0, 0.0)
@@ -292,14 +292,14 @@
 
 def test_witness_is_in_force_once_its_scope_is_read_back() -> None:
     script = Script()
-    holder, scopes = widen(empty_holder(ALICE), (CAR,), (BOB,), "ledger-3")
-    assert scopes == (scope(ALICE, (CAR,), (BOB,)),)
-    assert widen(holder, (CAR,), (), "ledger-3")[1] == ()
-    assert not has_witness(holder, "ledger-3", CAR)
-    for outcome in script.add(scope(BOB, (CAR,)), *scopes):
+    holder, scopes = widen(empty_holder(ALICE), (SIDECAR,), (BOB,), "ledger-3")
+    assert scopes == (scope(ALICE, (SIDECAR,), (BOB,)),)
+    assert widen(holder, (SIDECAR,), (), "ledger-3")[1] == ()
+    assert not has_witness(holder, "ledger-3", SIDECAR)
+    for outcome in script.add(scope(BOB, (SIDECAR,)), *scopes):
         holder = on_outcome(holder, outcome, 0.0, "ledger-3")
-    assert has_witness(holder, "ledger-3", CAR)
-    assert not has_witness(holder, "ledger-4", CAR)
+    assert has_witness(holder, "ledger-3", SIDECAR)
+    assert not has_witness(holder, "ledger-4", SIDECAR)
 
 
 def test_clean_close_logs_all_bills_and_refuses_while_runs_go_on() -> None:
@@ -351,7 +351,7 @@
 
 def test_resume_takes_what_the_checkpoint_shows() -> None:
     holder, script = holding(50)
-    holder, scopes = widen(holder, (CAR,))
+    holder, scopes = widen(holder, (SIDECAR,))
     holder = feed(holder, script, *scopes)
     holder, _ = reserve(holder, TEAM, RUN, 50, 0.0)
     holder, _ = settle(holder, RUN, KEY, 20)
@@ -376,6 +376,6 @@
 
 def test_holder_that_the_log_forgot_is_closed() -> None:
     script = Script(top_up(9))
-    holder, scopes = widen(empty_holder(ALICE), (CAR,))
+    holder, scopes = widen(empty_holder(ALICE), (SIDECAR,))
     holder = feed(holder, script, *scopes)
     assert resume(holder, Script(request(1, "g", OPERATOR)).state).closed
--- a/tests/unit/ledger/test_replay.py
+++ b/tests/unit/ledger/test_replay.py
@@ -44,7 +44,7 @@
     request,
     settle,
     top_up,
-    typed,
+    with_type_names,
 )
 
 
@@ -95,7 +95,9 @@
     script = Script(top_up(100), request(50))
     first, repeated = bill(20), bill(20, run="other")
     outcomes = script.add(settle(first, repeated))
-    assert typed(outcomes) == typed([Billed(first), BillRepeated(repeated, first.run)])
+    assert with_type_names(outcomes) == with_type_names(
+        [Billed(first), BillRepeated(repeated, first.run)]
+    )
     assert summary(script) == (100, 20, 0, 30, 50, 0)
 
 
@@ -131,7 +133,7 @@
     script = Script(top_up(100), request(50))
     back = GrantReturn(TEAM, GrantId("g"), ALICE, 60)
     reduced = GrantReduced(TEAM, GrantId("g"), ALICE, 50)
-    assert typed(script.add(back)) == typed([reduced])
+    assert with_type_names(script.add(back)) == with_type_names([reduced])
     assert script.add(back) == (Ignored("returned grant is not open"),)
     script.add(request(10, "h"))
     other = GrantReturn(TEAM, GrantId("h"), BOB, 1)
--- a/tests/unit/ledger/test_transfers.py
+++ b/tests/unit/ledger/test_transfers.py
@@ -29,7 +29,7 @@
 from tests.unit.ledger.scripts import (
     ALICE,
     BOB,
-    CAR,
+    SIDECAR,
     TEAM,
     Script,
     ack,
@@ -46,7 +46,11 @@
 
 def shared(*records: Record) -> Script:
     return Script(
-        top_up(100), scope(ALICE, (), (BOB,)), scope(BOB, (CAR,)), request(60), *records
+        top_up(100),
+        scope(ALICE, (), (BOB,)),
+        scope(BOB, (SIDECAR,)),
+        request(60),
+        *records,
     )
 
 
@@ -83,9 +87,9 @@
 
 
 def test_part_of_a_released_receiver_is_freed_or_held() -> None:
-    freed = shared(close(BOB), ack(BOB, CAR), transfer(20))
+    freed = shared(close(BOB), ack(BOB, SIDECAR), transfer(20))
     assert budget_summary(freed.state, TEAM)[:5] == (100, 0, 0, 40, 60)
-    held = shared(close(BOB), ack(BOB, CAR, lost=True), transfer(20))
+    held = shared(close(BOB), ack(BOB, SIDECAR, lost=True), transfer(20))
     assert budget_summary(held.state, TEAM)[:5] == (100, 0, 20, 40, 40)
 
 
