--- a/tests/unit/ledger/test_holder.py
+++ b/tests/unit/ledger/test_holder.py
@@ -48,30 +48,32 @@
 KEY = RequestKey("k")
 
 
-def feed(holder: HolderState, script: Script, *records: Record) -> HolderState:
+def append_and_read(
+    holder: HolderState, script: Script, *records: Record
+) -> HolderState:
     for outcome in script.add(*records):
         holder = on_outcome(holder, outcome, 0.0)
     return holder
 
 
-def pump(
+def plan_and_read(
     holder: HolderState, script: Script, now: float = 0.0
 ) -> tuple[HolderState, list[Record]]:
     """Plan, append and read back."""
     holder, rows = plan(holder, now, 0.0)
     records = [record for row in rows.values() for record in row]
-    return feed(holder, script, *records), records
+    return append_and_read(holder, script, *records), records
 
 
-def holding(amount: int, budget: int = 1000) -> tuple[HolderState, Script]:
+def holder_with_grant(amount: int, budget: int = 1000) -> tuple[HolderState, Script]:
     script = Script(top_up(budget))
     holder = empty_holder(ALICE)
     reserve(holder, TEAM, RunId("first"), amount, 0.0)
-    holder, _ = pump(holder, script)
+    holder, _ = plan_and_read(holder, script)
     return cancel(holder, RunId("first")), script
 
 
-def free(holder: HolderState) -> list[int]:
+def free_amounts(holder: HolderState) -> list[int]:
     return [own["free"] for own in holder.budgets[TEAM]["grants"].values()]
 
 
@@ -83,7 +85,7 @@
     script = Script(top_up(100))
     holder, outcome = reserve(empty_holder(ALICE), TEAM, RUN, 60, 0.0)
     assert outcome == NeedsGrant(60)
-    holder, records = pump(holder, script)
+    holder, records = plan_and_read(holder, script)
     grant = GrantId(f"{ALICE}/1")
     assert records == [GrantRequest(TEAM, ALICE, grant, 60)]
     holder, outcome = reserve(holder, TEAM, RUN, 60, 0.0)
@@ -98,103 +100,103 @@
 
 
 def test_oldest_grant_with_room_pays() -> None:
-    holder, script = holding(10)
+    holder, script = holder_with_grant(10)
     holder, _ = reserve(holder, TEAM, RUN, 30, 0.0)
-    holder, _ = pump(holder, script)
+    holder, _ = plan_and_read(holder, script)
     holder, outcome = reserve(holder, TEAM, RUN_2, 5, 0.0)
     assert outcome == Reserved(GrantId(f"{ALICE}/1"), 5)
     holder, outcome = reserve(holder, TEAM, RUN, 30, 0.0)
     assert outcome == Reserved(GrantId(f"{ALICE}/2"), 30)
-    assert free(holder) == [5, 0]
+    assert free_amounts(holder) == [5, 0]
 
 
 def test_settled_rest_is_free_and_the_bill_is_kept_until_logged() -> None:
-    holder, script = holding(50)
+    holder, script = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 50, 0.0)
     holder, made = settle(holder, RUN, KEY, 20)
-    assert free(holder) == [30]
+    assert free_amounts(holder) == [30]
     assert settle(holder, RUN, KEY, 20)[1] is None
     holder, rows = plan(holder, 0.0, 0.0)
     assert Settle(TEAM, (made,)) in rows[TEAM]  # type: ignore[arg-type]
     assert RUN in holder.bills
     later = plan(holder, 0.0, 0.0)[1].get(TEAM, ())
     assert not any(isinstance(record, Settle) for record in later)
-    holder = feed(holder, script, *rows[TEAM])
+    holder = append_and_read(holder, script, *rows[TEAM])
     assert not holder.bills
 
 
 def test_run_reserves_once() -> None:
-    holder, _ = holding(50)
+    holder, _ = holder_with_grant(50)
     holder, first = reserve(holder, TEAM, RUN, 20, 0.0)
     holder, again = reserve(holder, TEAM, RUN, 20, 0.0)
-    assert (again, free(holder)) == (first, [30])
+    assert (again, free_amounts(holder)) == (first, [30])
 
 
 def test_cancelled_run_gives_everything_back() -> None:
-    holder, _ = holding(50)
+    holder, _ = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 50, 0.0)
-    assert free(cancel(holder, RUN)) == [50]
+    assert free_amounts(cancel(holder, RUN)) == [50]
 
 
 def test_repeated_bill_of_another_run_gives_its_tokens_back() -> None:
-    holder, _ = holding(50)
+    holder, _ = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 20, 0.0)
     holder, _ = reserve(holder, TEAM, RUN_2, 20, 0.0)
     holder, first = settle(holder, RUN, KEY, 20)
     holder, second = settle(holder, RUN_2, KEY, 20)
     assert first is not None and second is not None
-    assert free(holder) == [10]
+    assert free_amounts(holder) == [10]
     holder = on_outcome(holder, Billed(first), 0.0)
     holder = on_outcome(holder, BillRepeated(second, RUN), 0.0)
-    assert free(holder) == [30]
+    assert free_amounts(holder) == [30]
     holder = on_outcome(holder, BillRepeated(first, RUN), 0.0)
-    assert free(holder) == [30]
+    assert free_amounts(holder) == [30]
 
 
 def test_repeated_bill_of_the_same_run_gives_nothing_back() -> None:
-    holder, _ = holding(50)
+    holder, _ = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 20, 0.0)
     holder, made = settle(holder, RUN, KEY, 20)
     assert made is not None
     holder = on_outcome(holder, BillRepeated(made, RUN), 0.0)
-    assert free(holder) == [30]
+    assert free_amounts(holder) == [30]
 
 
 def test_bill_logged_by_another_witness_ends_the_reservation() -> None:
-    holder, _ = holding(50)
+    holder, _ = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 50, 0.0)
     copy = settle(holder, RUN, KEY, 20)[1]
     assert copy is not None
-    holder, _ = holding(50)
+    holder, _ = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 50, 0.0)
     holder = on_outcome(holder, Billed(copy), 0.0)
-    assert (free(holder), holder.runs) == ([30], {})
+    assert (free_amounts(holder), holder.runs) == ([30], {})
 
 
 def test_refusal_backs_off_and_then_asks_for_what_fits() -> None:
     script = Script(top_up(50))
     holder, _ = reserve(empty_holder(ALICE), TEAM, RUN, 60, 0.0)
     holder, _ = reserve(holder, TEAM, RUN_2, 40, 0.0)
-    holder, _ = pump(holder, script)
+    holder, _ = plan_and_read(holder, script)
     assert plan(holder, 0.05, 0.0)[1] == {}
-    holder, records = pump(holder, script, now=0.2)
+    holder, records = plan_and_read(holder, script, now=0.2)
     assert [record.amount for record in records] == [40]  # type: ignore[union-attr]
 
 
 def test_more_available_ends_the_backoff() -> None:
     script = Script(top_up(50))
     holder, _ = reserve(empty_holder(ALICE), TEAM, RUN, 60, 0.0)
-    holder, _ = pump(holder, script)
+    holder, _ = plan_and_read(holder, script)
     holder = observe_budget(holder, TEAM, BudgetSummary(90, 0, 0, 0, 90))
-    _, records = pump(holder, script, now=0.01)
+    _, records = plan_and_read(holder, script, now=0.01)
     assert [record.amount for record in records] == [60]  # type: ignore[union-attr]
 
 
 def test_free_pieces_go_back_ahead_of_a_request_that_needs_them() -> None:
-    holder, script = holding(30, budget=60)
+    holder, script = holder_with_grant(30, budget=60)
     holder, _ = reserve(holder, TEAM, RUN, 50, 0.0)
     holder = observe_budget(holder, TEAM, BudgetSummary(60, 0, 0, 30, 30, 0, 1))
-    holder, records = pump(holder, script)
+    holder, records = plan_and_read(holder, script)
     assert [type(record) for record in records] == [GrantReturn, GrantRequest]
     assert isinstance(reserve(holder, TEAM, RUN, 50, 0.0)[1], Reserved)
 
@@ -202,7 +204,7 @@
 def test_demand_grows_the_request_and_a_low_budget_shrinks_it() -> None:
     amounts = []
     for spare in (100_000, 300, 0):
-        holder, script = holding(100, budget=100_000)
+        holder, script = holder_with_grant(100, budget=100_000)
         for index in range(10):
             run = RunId(f"x{index}")
             holder, _ = reserve(holder, TEAM, run, 10, 0.0)
@@ -215,9 +217,9 @@
 
 
 def test_holder_keeps_its_part_of_what_is_left_by_its_part_of_the_spending() -> None:
-    wishes = []
+    requested = []
     for fleet_spending in (100, 200, 400):
-        holder, _ = holding(100, budget=100_000)
+        holder, _ = holder_with_grant(100, budget=100_000)
         holder = observe_budget(
             holder, TEAM, BudgetSummary(0, 0, 0, 0, 1_000, 0, 1), 0.0
         )
@@ -229,12 +231,12 @@
         holder = observe_budget(holder, TEAM, spent, 0.0)
         _, rows = plan(holder, 0.0, 0.1)
         asked = [r.amount for r in rows[TEAM] if isinstance(r, GrantRequest)]
-        wishes.append(sum(asked))
-    assert wishes == [500, 475, 237]
+        requested.append(sum(asked))
+    assert requested == [500, 475, 237]
 
 
 def test_holder_gives_back_a_part_when_another_is_refused() -> None:
-    holder, script = holding(80, budget=100)
+    holder, script = holder_with_grant(80, budget=100)
     holder, _ = reserve(holder, TEAM, RUN, 10, 0.0)
     holder = observe_budget(holder, TEAM, BudgetSummary(100, 0, 0, 80, 20, 0, 1))
     refused = script.add(request(30, "other", BOB))
@@ -250,7 +252,7 @@
 def test_slower_log_grows_the_request() -> None:
     amounts = []
     for delay in (1.0, 10.0):
-        holder, _ = holding(100)
+        holder, _ = holder_with_grant(100)
         for index in range(10):
             holder, _ = reserve(holder, TEAM, RunId(f"x{index}"), 10, 0.0)
         _, rows = plan(holder, 0.0, delay)
@@ -259,27 +261,27 @@
 
 
 def test_surplus_goes_back_when_demand_fell() -> None:
-    holder, script = holding(100)
+    holder, script = holder_with_grant(100)
     holder, _ = reserve(holder, TEAM, RUN, 10, 0.0)
     holder = cancel(holder, RUN)
-    holder, records = pump(holder, script, now=1000.0)
+    holder, records = plan_and_read(holder, script, now=1000.0)
     grant = GrantId(f"{ALICE}/1")
     assert records == [GrantReturn(TEAM, grant, ALICE, 100)]
-    assert free(holder) == []
+    assert free_amounts(holder) == []
 
 
 def test_granted_tokens_stay_while_their_run_is_about_to_take_them() -> None:
     script = Script(top_up(100))
     holder, _ = reserve(empty_holder(ALICE), TEAM, RUN, 60, 0.0)
-    holder, _ = pump(holder, script)
+    holder, _ = plan_and_read(holder, script)
     assert plan(holder, 100.0, 0.0)[1] == {}
 
 
 def test_own_close_ends_all_grants_but_bills_still_go() -> None:
-    holder, script = holding(50)
+    holder, script = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 40, 0.0)
     holder, scopes = widen(holder, (SIDECAR,))
-    holder = feed(holder, script, *scopes)
+    holder = append_and_read(holder, script, *scopes)
     holder = on_outcome(holder, HolderClosed(BOB), 0.0)
     assert not holder.closed
     holder = on_outcome(holder, HolderClosed(ALICE), 0.0)
@@ -303,7 +305,7 @@
 
 
 def test_clean_close_logs_all_bills_and_refuses_while_runs_go_on() -> None:
-    holder, script = holding(50)
+    holder, script = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 50, 0.0)
     with pytest.raises(RuntimeError):
         close_cleanly(holder)
@@ -315,7 +317,7 @@
 
 
 def test_hint_expects_the_rest_of_running_reservations() -> None:
-    holder, script = holding(100, budget=100)
+    holder, script = holder_with_grant(100, budget=100)
     for index in range(30):
         run = RunId(f"x{index}")
         holder, _ = reserve(holder, TEAM, run, 10, 0.0)
@@ -335,12 +337,12 @@
 
 
 def test_hint_counts_no_pieces_together_while_no_grant_can_be_asked_for() -> None:
-    holder, script = holding(50)
+    holder, script = holder_with_grant(50)
     for run in (RUN, RUN_2):
         holder, _ = reserve(holder, TEAM, run, 50, 0.0)
-    holder, _ = pump(holder, script)
+    holder, _ = plan_and_read(holder, script)
     holder = cancel(cancel(holder, RUN), RUN_2)
-    assert free(holder) == [50, 100]
+    assert free_amounts(holder) == [50, 100]
     assert wait_hint(holder, TEAM, 120, 0.0).worth_waiting
     assert not wait_hint(holder, TEAM, 120, 0.0, can_request=False).worth_waiting
     holder, _ = reserve(holder, TEAM, RUN_3, 200, 0.0)
@@ -350,9 +352,9 @@
 
 
 def test_resume_takes_what_the_checkpoint_shows() -> None:
-    holder, script = holding(50)
+    holder, script = holder_with_grant(50)
     holder, scopes = widen(holder, (SIDECAR,))
-    holder = feed(holder, script, *scopes)
+    holder = append_and_read(holder, script, *scopes)
     holder, _ = reserve(holder, TEAM, RUN, 50, 0.0)
     holder, _ = settle(holder, RUN, KEY, 20)
     holder, _ = reserve(holder, TEAM, RUN_2, 70, 0.0)
@@ -371,11 +373,11 @@
     part = Transfer(TEAM, GrantId("t"), GrantId("h"), BOB, ALICE, 20)
     script.add(part)
     holder = resume(resume(empty_holder(ALICE), script.state), script.state)
-    assert free(holder) == [20]
+    assert free_amounts(holder) == [20]
 
 
 def test_holder_that_the_log_forgot_is_closed() -> None:
     script = Script(top_up(9))
     holder, scopes = widen(empty_holder(ALICE), (SIDECAR,))
-    holder = feed(holder, script, *scopes)
+    holder = append_and_read(holder, script, *scopes)
     assert resume(holder, Script(request(1, "g", OPERATOR)).state).closed
--- a/tests/unit/ledger/test_transfers.py
+++ b/tests/unit/ledger/test_transfers.py
@@ -41,10 +41,10 @@
     transfer,
 )
 
-PART = GrantId("t")
+TRANSFER_ID = GrantId("t")
 
 
-def shared(*records: Record) -> Script:
+def stream_with_peers(*records: Record) -> Script:
     return Script(
         top_up(100),
         scope(ALICE, (), (BOB,)),
@@ -55,8 +55,8 @@
 
 
 def test_part_becomes_a_grant_of_the_receiver_once() -> None:
-    script = shared()
-    applied = TransferApplied(TEAM, PART, GrantId("g"), ALICE, BOB, 20)
+    script = stream_with_peers()
+    applied = TransferApplied(TEAM, TRANSFER_ID, GrantId("g"), ALICE, BOB, 20)
     assert script.add(transfer(20)) == (applied,)
     assert script.add(transfer(20)) == (Ignored("transfer already applied"),)
     script.add(scripts.settle(bill(20, grant="t")))
@@ -65,8 +65,8 @@
 
 
 def test_transfer_outside_the_rules_is_ignored() -> None:
-    script = shared(transfer(20), request(5, "h", BOB))
-    onward = Transfer(TEAM, GrantId("u"), PART, BOB, ALICE, 5)
+    script = stream_with_peers(transfer(20), request(5, "h", BOB))
+    onward = Transfer(TEAM, GrantId("u"), TRANSFER_ID, BOB, ALICE, 5)
     other = "transferred grant is not the sender's own"
     assert script.add(onward) == (Ignored(other),)
     unscoped = Transfer(TEAM, GrantId("u"), GrantId("h"), BOB, ALICE, 5)
@@ -78,28 +78,28 @@
 
 
 def test_bill_ahead_of_its_transfer_is_moved_to_the_part() -> None:
-    script = shared(request(40, "h"))
+    script = stream_with_peers(request(40, "h"))
     early = bill(15, grant="t")
     assert script.add(scripts.settle(early)) == (BillUnfunded(early, 15, 15),)
     script.add(transfer(20))
     assert budget_summary(script.state, TEAM)[:6] == (100, 15, 0, 85, 0, 0)
-    assert script.state.grants[PART]["remainder"] == 5
+    assert script.state.grants[TRANSFER_ID]["remainder"] == 5
 
 
 def test_part_of_a_released_receiver_is_freed_or_held() -> None:
-    freed = shared(close(BOB), ack(BOB, SIDECAR), transfer(20))
+    freed = stream_with_peers(close(BOB), ack(BOB, SIDECAR), transfer(20))
     assert budget_summary(freed.state, TEAM)[:5] == (100, 0, 0, 40, 60)
-    held = shared(close(BOB), ack(BOB, SIDECAR, lost=True), transfer(20))
+    held = stream_with_peers(close(BOB), ack(BOB, SIDECAR, lost=True), transfer(20))
     assert budget_summary(held.state, TEAM)[:5] == (100, 0, 20, 40, 40)
 
 
 def test_clean_close_frees_only_what_was_not_passed_on() -> None:
-    script = shared(transfer(20))
+    script = stream_with_peers(transfer(20))
     assert script.add(close(ALICE, clean=True))[-1] == HolderReleased(ALICE, 40, 0)
-    assert script.state.grants[PART]["remainder"] == 20
+    assert script.state.grants[TRANSFER_ID]["remainder"] == 20
 
 
-def giving_holder(script: Script) -> HolderState:
+def holder_with_peer(script: Script) -> HolderState:
     holder = empty_holder(ALICE)
     reserve(holder, TEAM, RunId("r"), 60, 0.0)
     holder, rows = plan(holder, 0.0, 0.0)
@@ -110,21 +110,21 @@
 
 
 def test_a_part_that_is_of_no_use_is_not_given() -> None:
-    holder = giving_holder(Script())
-    holder, message = send_transfer(holder, TEAM, PART, BOB, 90, min_amount=61)
+    holder = holder_with_peer(Script())
+    holder, message = send_transfer(holder, TEAM, TRANSFER_ID, BOB, 90, min_amount=61)
     assert message.amount == 0
-    _, message = send_transfer(holder, TEAM, PART, BOB, 90, min_amount=60)
+    _, message = send_transfer(holder, TEAM, TRANSFER_ID, BOB, 90, min_amount=60)
     assert message.amount == 60
 
 
 def test_sender_subtracts_and_receiver_spends_at_once() -> None:
     script = Script()
-    alice, bob = giving_holder(script), empty_holder(BOB)
-    alice, nothing = send_transfer(alice, TEAM, PART, Incarnation("eve#1"), 20)
+    alice, bob = holder_with_peer(script), empty_holder(BOB)
+    alice, nothing = send_transfer(alice, TEAM, TRANSFER_ID, Incarnation("eve#1"), 20)
     assert nothing.amount == 0
-    alice, message = send_transfer(alice, TEAM, PART, BOB, 50)
+    alice, message = send_transfer(alice, TEAM, TRANSFER_ID, BOB, 50)
     assert message.amount == 50
-    assert send_transfer(alice, TEAM, PART, BOB, 5)[1].amount == 0
+    assert send_transfer(alice, TEAM, TRANSFER_ID, BOB, 5)[1].amount == 0
     assert send_transfer(alice, TEAM, GrantId("u"), BOB, 50)[1].amount == 10
     bob, _ = reserve(receive_transfer(bob, message), TEAM, RunId("s"), 50, 0.0)
     bob = receive_transfer(bob, message)
@@ -138,33 +138,33 @@
 
 def test_receiver_learns_of_a_lost_message_from_the_log() -> None:
     script = Script()
-    alice, message = send_transfer(giving_holder(script), TEAM, PART, BOB, 50)
+    alice, message = send_transfer(holder_with_peer(script), TEAM, TRANSFER_ID, BOB, 50)
     alice, records = close_cleanly(alice)
     bob = empty_holder(BOB)
     for outcome in script.add(*records):
         bob = on_outcome(bob, outcome, 0.0)
-    assert bob.budgets[TEAM]["grants"][PART]["free"] == 50
+    assert bob.budgets[TEAM]["grants"][TRANSFER_ID]["free"] == 50
     bob = receive_transfer(bob, message)
-    assert bob.budgets[TEAM]["grants"][PART]["free"] == 50
+    assert bob.budgets[TEAM]["grants"][TRANSFER_ID]["free"] == 50
 
 
 def test_receiver_takes_a_part_once_from_message_and_log() -> None:
     script = Script()
-    alice, message = send_transfer(giving_holder(script), TEAM, PART, BOB, 50)
+    alice, message = send_transfer(holder_with_peer(script), TEAM, TRANSFER_ID, BOB, 50)
     _, rows = plan(alice, 0.0, 0.0)
     bob, _ = reserve(
         receive_transfer(empty_holder(BOB), message), TEAM, RunId("s"), 40, 0.0
     )
     for outcome in script.add(*rows[TEAM]):
         bob = on_outcome(bob, outcome, 0.0)
-    assert bob.budgets[TEAM]["grants"][PART]["free"] == 10
+    assert bob.budgets[TEAM]["grants"][TRANSFER_ID]["free"] == 10
 
 
 def test_received_part_is_not_given_on() -> None:
     bob, scopes = widen(empty_holder(BOB), (), (ALICE,))
     for outcome in Script().add(*scopes):
         bob = on_outcome(bob, outcome, 0.0)
-    _, message = send_transfer(giving_holder(Script()), TEAM, PART, BOB, 50)
+    _, message = send_transfer(holder_with_peer(Script()), TEAM, TRANSFER_ID, BOB, 50)
     _, onward = send_transfer(
         receive_transfer(bob, message), TEAM, GrantId("u"), ALICE, 5
     )
@@ -172,14 +172,14 @@
 
 
 def test_sender_whose_close_was_read_is_refused() -> None:
-    _, message = send_transfer(giving_holder(Script()), TEAM, PART, BOB, 50)
+    _, message = send_transfer(holder_with_peer(Script()), TEAM, TRANSFER_ID, BOB, 50)
     bob = on_outcome(empty_holder(BOB), HolderClosed(ALICE), 0.0)
     assert receive_transfer(bob, message).budgets == {}
 
 
 def test_receiver_logs_parts_before_it_acknowledges_a_close() -> None:
     script = Script()
-    _, message = send_transfer(giving_holder(script), TEAM, PART, BOB, 50)
+    _, message = send_transfer(holder_with_peer(script), TEAM, TRANSFER_ID, BOB, 50)
     bob, records = refuse_sender(receive_transfer(empty_holder(BOB), message), ALICE)
     assert records == (transfer(50, grant=message.grant),)
     script.add(close(ALICE))
