--- a/tests/unit/ledger/fuzz_entry.py
+++ b/tests/unit/ledger/fuzz_entry.py
@@ -1,4 +1,4 @@
-"""A fake entry: a holder, a reader and a writer of the ledger stream."""
+"""Fake entry for fuzzing: a holder with a reader and a writer of the ledger stream."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -49,7 +49,10 @@
 
 
 class FakeEntry:
-    """One incarnation of an entry."""
+    """One incarnation of an entry.
+
+    A paused entry does nothing, one that is ``cut`` cannot reach the log.
+    """
 
     def __init__(self, incarnation: Incarnation, log: FakeLog) -> None:
         self.incarnation = incarnation
@@ -68,7 +71,7 @@
         self.now = 0.0
 
     def enqueue(self, records: Iterable[Record]) -> None:
-        """Queue one batch; it is appended until it is read back."""
+        """Queue a batch, which is appended repeatedly until it is read back."""
         rows = tuple(records)
         if rows:
             self.sequence += 1
@@ -84,7 +87,7 @@
             self.log.append(self.queue[0])
 
     def read(self, limit: int = 1000) -> None:
-        """Read the stream on, from a checkpoint where it was trimmed."""
+        """Read further batches, from a checkpoint if the log trimmed the next one."""
         if self.log.outage or self.cut:
             return
         if self.position < self.log.oldest:
@@ -99,7 +102,7 @@
             self.holder = observe_budget(self.holder, budget, summary)
 
     def plan(self, log_delay: float) -> None:
-        """Queue what the holder plans, time moving on."""
+        """Queue the records that the holder plans, one second later."""
         self.now += 1.0
         self.holder, rows = plan(self.holder, self.now, log_delay)
         self.enqueue(record for budget in rows.values() for record in budget)
@@ -107,7 +110,7 @@
     def widen(
         self, sidecars: tuple[Incarnation, ...], peers: tuple[Incarnation, ...]
     ) -> None:
-        """Queue new witnesses."""
+        """Queue the scope records of new witnesses."""
         self.holder, scopes = widen(self.holder, sidecars, peers)
         self.enqueue(scopes)
 
@@ -119,7 +122,7 @@
         amount: int,
         sidecar: Incarnation,
     ) -> Start | None:
-        """Reserve for a run and make its ticket, if its witness is in force."""
+        """Reserve for a run and create its ticket, if its sidecar is a witness."""
         if not has_witness(self.holder, "", sidecar):
             return None
         self.holder, outcome = reserve(self.holder, budget, run, amount, self.now)
@@ -130,45 +133,45 @@
         return self.in_flight[run]
 
     def ended(self, run: RunId, amount: int, held: bool = False) -> None:
-        """Settle a run with its receipt, or hold all of it without one."""
+        """Settle a run at its cost; ``held`` if the cost is unknown."""
         start = self.in_flight.pop(run)
         self.holder, _ = settle(self.holder, run, start.key, amount, held)
 
     def refused(self, run: RunId) -> None:
-        """Take back the reservation of a run that is proved not run."""
+        """Free the reservation of a run that is known not to have executed."""
         del self.in_flight[run]
         self.holder = cancel(self.holder, run)
 
     def give_up_waiting(self) -> None:
-        """Forget the runs that found no grant."""
+        """Cancel the runs that wait for a grant."""
         for run in list(self.holder.waiting):
             self.holder = cancel(self.holder, run)
 
     def send_transfer(
         self, budget: str, transfer: GrantId, receiver: Incarnation, amount: int
     ) -> TransferGive:
-        """Pass a part of a grant to a peer."""
+        """Transfer tokens of a grant to a peer."""
         self.holder, message = send_transfer(
             self.holder, budget, transfer, receiver, amount
         )
         return message
 
     def receive_transfer(self, message: TransferGive) -> None:
-        """Take a part from a peer."""
+        """Receive a transfer from a peer."""
         self.holder = receive_transfer(self.holder, message)
 
     def leave(self) -> None:
-        """Stop as planned, once nothing is in flight."""
+        """Close cleanly, which requires that no run is in flight."""
         self.holder, records = close_cleanly(self.holder)
         self.enqueue(records)
         self.is_stopped = True
 
     def close(self, victim: Incarnation) -> None:
-        """Believe a holder dead."""
+        """Queue the close of a holder that is presumed dead."""
         self.enqueue([HolderClose(victim, self.incarnation)])
 
     def request_close_ack(self, victim: Incarnation, sidecar: FakeSidecar) -> None:
-        """Have a sidecar refuse a closed holder and log what it knows."""
+        """Have a sidecar reject a closed holder, and queue its receipts and answer."""
         if not sidecar.alive:
             ack = CloseAck(victim, sidecar.incarnation, lost=True)
             self.enqueue([ack])
@@ -179,7 +182,7 @@
             self.enqueue([*settles_of(receipts), ack])
 
     def acknowledge_close(self, victim: Incarnation) -> None:
-        """Acknowledge a closed holder as its peer, in one batch."""
+        """Queue the acknowledgement of a closed holder as its peer, in one batch."""
         self.holder, transfers = refuse_sender(self.holder, victim)
         receipts = [
             item for item in self.kept_receipts.values() if item.holder == victim
@@ -188,7 +191,7 @@
         self.enqueue([*transfers, *settles_of(receipts), ack])
 
     def checkpoint(self) -> None:
-        """Queue a checkpoint of all that was read."""
+        """Queue a checkpoint of the state that was read."""
         if self.state.offset >= 0:
             self.enqueue([ledger_checkpoint(self.state, "ledger-0")])
 
@@ -213,7 +216,7 @@
 
 
 def settles_of(receipts: Iterable[Receipt]) -> list[Settle]:
-    """Return the records that bill receipts, one for each budget."""
+    """Return the settle records that bill receipts, one per budget."""
     ordered = sorted(receipts, key=lambda receipt: receipt.budget)
     groups = groupby(ordered, key=lambda receipt: receipt.budget)
     return [
