--- a/tests/unit/ledger/fuzz_fleet.py
+++ b/tests/unit/ledger/fuzz_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of the ledger fuzzing: entries, sidecars, one log, the network."""
+"""Fake fleet for fuzzing the ledger: entries, sidecars, one log and the network."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -23,7 +23,7 @@
 
 
 class Fleet:
-    """The processes around one ledger stream, and what they do together."""
+    """The processes around one ledger stream, and steps of several of them."""
 
     def __init__(self) -> None:
         self.oracle = Oracle()
@@ -67,7 +67,7 @@
         return next(found)
 
     def tick(self, entry: FakeEntry) -> None:
-        """Let an entry widen, plan, write and read to the end."""
+        """Have an entry add witnesses, plan, and write and read its whole queue."""
         sidecars = tuple(sidecar.incarnation for sidecar in self.live_sidecars())
         alive = (other for other in self.entries if other.alive and other != entry)
         peers = tuple(other.incarnation for other in alive)
@@ -79,21 +79,21 @@
             entry.read()
 
     def write_and_read(self, entry: FakeEntry) -> None:
-        """Write and read without new witnesses or requests."""
+        """Write and read the queue of an entry, without new witnesses or requests."""
         entry.read()
         for _ in range(len(entry.queue)):
             entry.write()
             entry.read()
 
     def send_start(self, entry: FakeEntry, start: Start) -> None:
-        """Deliver a start and its refusal to an entry that waits for it."""
+        """Deliver a start to its sidecar, and a refusal to the waiting entry."""
         sidecar = self.sidecar(start.ticket.sidecar)
         if sidecar.alive and not sidecar.start(start):
             entry.refused(start.run)
             self.oracle.refused.add(start.run)
 
     def send_end(self, entry: FakeEntry, run: RunId) -> None:
-        """Deliver a receipt, or what its sidecar's death leaves."""
+        """Deliver the receipt of a run; if its sidecar died, its cost is unknown."""
         ticket = entry.in_flight[run].ticket
         sidecar = self.sidecar(ticket.sidecar)
         if run in sidecar.finished and sidecar.alive:
@@ -107,7 +107,7 @@
         ]
 
     def closed_and_witness(self, entry: FakeEntry) -> list[tuple[Incarnation, str]]:
-        """Return open witnesses of the closed holders that an entry knows."""
+        """Return pairs of a closed holder and an open witness, as an entry has read."""
         holders = entry.state.holders.items()
         closed = [(name, item) for name, item in holders if item["closed"]]
         return [
@@ -118,7 +118,7 @@
         ]
 
     def notify(self, entry: FakeEntry, holder: Incarnation, witness: str) -> None:
-        """Send a close notice and have the answer logged."""
+        """Send a close notice to a witness and queue its answer."""
         for sidecar in self.sidecars:
             if sidecar.incarnation == witness:
                 entry.request_close_ack(holder, sidecar)
