--- a/tests/unit/ledger/fuzz_oracle.py
+++ b/tests/unit/ledger/fuzz_oracle.py
@@ -1,7 +1,7 @@
-"""The oracle of the ledger fuzzing: perfect knowledge of what ran.
+"""Oracle for fuzzing the ledger, which knows every append and every execution.
 
-It replays every append the moment it takes effect, and knows every execution,
-so it can say at each step whether the ledger's promises hold.
+It replays an append as soon as it takes effect and records each run that spent
+tokens, so the ledger's invariants can be checked after every step.
 """
 
 from collections import Counter
@@ -25,7 +25,7 @@
 
 
 class Request(NamedTuple):
-    """What one key costs, whichever run executes it."""
+    """The cost of a key, which is the same for every run of it."""
 
     budget: str
     cost: int
@@ -39,7 +39,10 @@
 
 
 class Oracle:
-    """All requests, executions and bills, and the state at each offset."""
+    """All requests, executions and bills, and the state digest at each offset.
+
+    ``parent_grants`` maps each transfer to the grant that it was deducted from.
+    """
 
     def __init__(self) -> None:
         self.state: LedgerState = empty_ledger()
@@ -55,7 +58,7 @@
         self.sidecars_lost = 0
 
     def on_append(self, offset: int, batch: Batch) -> None:
-        """Replay an append and keep what it billed."""
+        """Replay an append and record its bills, transfers and resolved holds."""
         self.state, outcomes = replay(self.state, offset, batch)
         self.digests.append(ledger_digest(self.state))
         funded = [outcome for outcome in outcomes if isinstance(outcome, Billed)]
@@ -68,25 +71,25 @@
         self.resolved |= {RequestKey(row.subject): row.charge for row in resolves}
 
     def holds(self) -> set[str]:
-        """Return all keys and grants with a hold."""
+        """Return all request keys and grants that have a hold."""
         return {
             name for entry in self.state.budgets.values() for name in entry["holds"]
         }
 
     def executed(self, budget: str) -> set[RequestKey]:
-        """Return the keys of a budget that ran, in part or whole."""
+        """Return the keys of a budget that were executed, at least partly."""
         keys = {execution.key for execution in self.executions.values()}
         return {key for key in keys if self.requests[key].budget == budget}
 
     def covered_by_hold(self) -> set[RequestKey]:
-        """Return the keys whose cost a hold covers: of a run, its grant, its parent."""
+        """Return the keys covered by a hold: their own, a grant's or its parent's."""
         holds = self.holds()
         runs = self.executions.values()
         by_grant = {run.key for run in runs if self.covering_grant(run.grant) in holds}
         return by_grant | {key for key in self.requests if key in holds}
 
     def check(self) -> None:
-        """Check what holds at every step."""
+        """Check the invariants that hold after every step."""
         assert not self.overruns
         covered = self.covered_by_hold()
         for budget in self.state.budgets:
@@ -109,12 +112,12 @@
         assert all(count == 1 for count in counts.values())
 
     def remainders(self, budget: str) -> int:
-        """Return the sum of all open grants of a budget."""
+        """Return the total remainder of the open grants of a budget."""
         grants = self.state.grants.values()
         return sum(item["remainder"] for item in grants if item["budget"] == budget)
 
     def check_grant_cover(self, covered: set[RequestKey]) -> None:
-        """Check that each unbilled cost is set aside under its own grant."""
+        """Check that every unbilled cost fits into the remainder of its grant."""
         billed = {bill.key for bill in self.bills if not bill.held}
         settled = billed | covered | set(self.resolved)
         unbilled = {run for run in self.executions.values() if run.key not in settled}
@@ -126,7 +129,7 @@
             assert cost <= self.state.grants[grant]["remainder"]
 
     def covering_grant(self, grant: GrantId) -> GrantId:
-        """Return the grant that covers a run: of a part not logged, its parent."""
+        """Return the grant that covers a run; the parent of an unlogged transfer."""
         return (
             grant
             if grant in self.logged_transfers
@@ -134,10 +137,10 @@
         )
 
     def covered_by_parent_holds(self, budget: str) -> int:
-        """Return what runs of parts cost that only their parents' holds cover.
+        """Return the cost of runs under transfers that only parent holds cover.
 
-        Nobody lived to log such a part, so replay cannot know whose hold has
-        its tokens: its bills wait until an operator ends the hold.
+        No process survived to log such a transfer, so replay cannot know which hold
+        has its tokens: its bills are a shortfall until an operator ends the hold.
         """
         holds = self.holds()
         runs = (self.executions[item.run] for item in self.bills if not item.held)
@@ -150,7 +153,7 @@
         )
 
     def check_unheld(self, budget: str) -> int:
-        """Return what waits to be held: only of held bills that nobody proved."""
+        """Return the unheld total, which only held bills of unknown cost may have."""
         entry = self.state.budgets[budget]
         proved = {bill.key for bill in self.bills if not bill.held}
         held_amounts = {bill.key: bill.amount for bill in self.bills if bill.held}
@@ -162,12 +165,12 @@
         return sum(entry["unheld"].values())
 
     def charged(self, budget: str) -> int:
-        """Return what operators charged for holds of a budget's keys."""
+        """Return the total that operators charged for holds of a budget's keys."""
         charges = self.resolved.items()
         return sum(n for key, n in charges if n and self.requests[key].budget == budget)
 
     def check_quiescent(self) -> None:
-        """Check what holds once all is healed, closed and acknowledged."""
+        """Check the state once all faults have ended and all holders are released."""
         self.check()
         assert not self.state.grants
         assert not self.state.holders
@@ -185,7 +188,7 @@
                 assert accounts.held == 0
 
     def check_settled(self) -> None:
-        """Check that all is billed in full once operators ended every hold."""
+        """Check that all costs are billed once operators have ended every hold."""
         billed = {bill.key for bill in self.bills if not bill.held}
         for budget in self.state.budgets:
             accounts = budget_summary(self.state, budget)
