--- a/tests/unit/ledger/fuzz_traffic.py
+++ b/tests/unit/ledger/fuzz_traffic.py
@@ -1,4 +1,4 @@
-"""What the fuzzed fleet does: traffic, parts passed on, and a quiet end."""
+"""Steps of the fuzzed fleet: requests, transfers between entries, and shutdown."""
 
 from clementinebend_records.identifiers import GrantId, RequestKey, RunId
 from clementinebend_records.records import HoldResolve
@@ -8,7 +8,7 @@
 
 
 class TrafficFleet(Fleet):
-    """A fleet with traffic."""
+    """A fleet that serves requests and transfers tokens."""
 
     def submit(
         self, at: int, to: int, budget: str, cost: int, slack: int, lost: bool
@@ -27,7 +27,7 @@
         finished: int,
         ended: int,
     ) -> None:
-        """Serve some requests at one entry, and leave some unfinished."""
+        """Serve requests at one entry, of which only some are finished and settled."""
         entry = pick(self.serving_entries(), at)
         for index in range(count):
             self.submit(at, to + index, budget, cost, index, False)
@@ -46,7 +46,7 @@
         amount: int,
         arrives: bool,
     ) -> bool:
-        """Pass a part of a grant; say whether the sender had one."""
+        """Transfer tokens of a grant; return whether the sender had any to transfer."""
         transfer = GrantId(self.name("part"))
         message = sender.send_transfer(budget, transfer, receiver.incarnation, amount)
         if not message.amount:
@@ -84,7 +84,7 @@
             self.serve_requests(at, to, budget, 3, 4, 3, 2)
 
     def finish_runs(self, entry: FakeEntry) -> None:
-        """End the runs of one holder, so that its sidecars can acknowledge."""
+        """Finish the runs of one holder, so that its sidecars acknowledge its close."""
         for sidecar in self.live_sidecars():
             for run, start in list(sidecar.running.items()):
                 if start.ticket.holder == entry.incarnation:
@@ -93,9 +93,9 @@
     def transfer_and_use(
         self, sender: FakeEntry, fresh: bool, passing: bool = True
     ) -> None:
-        """Pass a part from one entry, twice the message, and have it used.
+        """Transfer tokens from an entry, deliver the message twice and use the tokens.
 
-        A fresh receiver has no other grant, so it spends from the part.
+        A fresh receiver has no other grant, so its runs are paid from the transfer.
         """
         if not passing or sender not in self.serving_entries():
             return
@@ -114,7 +114,7 @@
         self.run_on_transfer(receiver, budget)
 
     def run_on_transfer(self, entry: FakeEntry, budget: str) -> None:
-        """Execute a run at an entry that does not read, write or learn of it."""
+        """Execute a run of an entry that does not read, write or get the receipt."""
         key, run = RequestKey(self.name("key")), RunId(self.name("run"))
         self.oracle.requests[key] = Request(budget, 4)
         sidecars = self.live_sidecars()
@@ -128,7 +128,7 @@
             sidecars[-1].finish(run)
 
     def transfer_candidates(self) -> list[tuple[FakeEntry, str, FakeEntry]]:
-        """Return entries with free tokens, of which budget, and a peer."""
+        """Return possible transfers as sender, budget and receiver."""
         return [
             (entry, budget, peer)
             for entry in self.active_entries()
@@ -163,7 +163,7 @@
             self.tick(entry)
 
     def end_holds(self) -> None:
-        """Have an operator free all that is held."""
+        """Have an operator end all holds without a charge."""
         for budget, entry in self.oracle.state.budgets.items():
             for subject in [*entry["holds"], *entry["unheld"]]:
                 self.append_by_operator(HoldResolve(budget, subject, 0, "operator"))
