--- a/tests/unit/ledger/fuzz_world.py
+++ b/tests/unit/ledger/fuzz_world.py
@@ -1,7 +1,7 @@
-"""Small fakes around the ledger: a log, sidecars and the network.
+"""Fakes for fuzzing the ledger: a log, sidecars and the network.
 
-The log applies an append at once, later, never, or without the writer
-learning of it; it has outages, and trims all but what a checkpoint covers.
+The log applies an append at once, later, never, or without an answer to its writer.
+It has outages, and trims the batches that a checkpoint covers.
 """
 
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class Start(NamedTuple):
-    """A request to execute a run, as it travels to a sidecar."""
+    """The message that asks a sidecar to execute a run."""
 
     run: RunId
     key: RequestKey
@@ -22,7 +22,7 @@
 
 
 class FakeLog:
-    """One stream, and the appends that are still on their way to it."""
+    """One stream, and the appends that have not arrived yet."""
 
     def __init__(self, oracle: Oracle) -> None:
         self.oracle = oracle
@@ -37,14 +37,14 @@
         self.batches.append(batch)
 
     def trim(self) -> None:
-        """Keep no more than the newest checkpoint needs."""
+        """Trim the batches that the newest checkpoint covers."""
         found = self._newest_checkpoint()
         if found is not None:
             position, checkpoint = found
             self.oldest = max(self.oldest, min(position, checkpoint.offset + 1))
 
     def checkpoint(self) -> Checkpoint:
-        """Return the newest checkpoint, checked against the oracle."""
+        """Return the newest checkpoint, after a check of its digest and offset."""
         found = self._newest_checkpoint()
         assert found is not None
         checkpoint = found[1]
@@ -62,7 +62,7 @@
 
 
 class FakeSidecar:
-    """One incarnation beside an endpoint: the last gate, and its receipts."""
+    """One incarnation of a sidecar, which admits runs and keeps their receipts."""
 
     def __init__(self, incarnation: Incarnation, oracle: Oracle) -> None:
         self.incarnation = incarnation
@@ -84,7 +84,7 @@
         return True
 
     def finish(self, run: RunId) -> None:
-        """End a run: it has spent its cost."""
+        """Finish a run, which then has spent its cost."""
         start = self.running.pop(run)
         ticket = start.ticket
         cost = self.oracle.requests[start.key].cost
@@ -101,7 +101,7 @@
         self.oracle.executions[run] = Execution(start.key, ticket.grant)
 
     def kill(self) -> None:
-        """Die with all memory; runs in progress may have spent their cost."""
+        """Crash and lose all memory; runs in progress count as executed."""
         for start in self.running.values():
             execution = Execution(start.key, start.ticket.grant)
             self.oracle.executions[start.run] = execution
@@ -109,7 +109,10 @@
         self.oracle.sidecars_lost += 1
 
     def close(self, holder: Incarnation) -> tuple[Receipt, ...] | None:
-        """Refuse a holder for ever; its receipts, or None while runs go on."""
+        """Reject a holder from now on.
+
+        Return its receipts that are not logged, or None while it has runs.
+        """
         self.closed.add(holder)
         if any(start.ticket.holder == holder for start in self.running.values()):
             return None
@@ -119,7 +122,7 @@
 
 
 class Network(NamedTuple):
-    """Messages on their way: each may arrive late, twice or never."""
+    """Messages that were sent; each may arrive late, twice or never."""
 
     starts: list[Start]
     transfers: list[TransferGive]
