--- a/tests/unit/ledger/fuzz_entry.py
+++ b/tests/unit/ledger/fuzz_entry.py
@@ -179,7 +179,7 @@
         receipts = sidecar.close(victim)
         if receipts is not None:
             ack = CloseAck(victim, sidecar.incarnation)
-            self.enqueue([*settles_of(receipts), ack])
+            self.enqueue([*settle_records(receipts), ack])
 
     def acknowledge_close(self, victim: Incarnation) -> None:
         """Queue the acknowledgement of a closed holder as its peer, in one batch."""
@@ -188,7 +188,7 @@
             item for item in self.kept_receipts.values() if item.holder == victim
         ]
         ack = CloseAck(victim, self.incarnation)
-        self.enqueue([*transfers, *settles_of(receipts), ack])
+        self.enqueue([*transfers, *settle_records(receipts), ack])
 
     def checkpoint(self) -> None:
         """Queue a checkpoint of the state that was read."""
@@ -215,15 +215,15 @@
             self.queue.popleft()
 
 
-def settles_of(receipts: Iterable[Receipt]) -> list[Settle]:
+def settle_records(receipts: Iterable[Receipt]) -> list[Settle]:
     """Return the settle records that bill receipts, one per budget."""
     ordered = sorted(receipts, key=lambda receipt: receipt.budget)
     groups = groupby(ordered, key=lambda receipt: receipt.budget)
     return [
-        Settle(budget, tuple(_bill_of(receipt) for receipt in group))
+        Settle(budget, tuple(_bill_from_receipt(receipt) for receipt in group))
         for budget, group in groups
     ]
 
 
-def _bill_of(receipt: Receipt) -> Bill:
+def _bill_from_receipt(receipt: Receipt) -> Bill:
     return Bill(receipt.key, receipt.run, receipt.grant, receipt.amount)
--- a/tests/unit/ledger/fuzz_world.py
+++ b/tests/unit/ledger/fuzz_world.py
@@ -117,8 +117,8 @@
         if any(start.ticket.holder == holder for start in self.running.values()):
             return None
         receipts = self.finished.values()
-        mine = (receipt for receipt in receipts if receipt.holder == holder)
-        return tuple(item for item in mine if item.run not in self.logged)
+        of_holder = (receipt for receipt in receipts if receipt.holder == holder)
+        return tuple(item for item in of_holder if item.run not in self.logged)
 
 
 class Network(NamedTuple):
