--- a/tests/unit/ledger/__init__.py
+++ b/tests/unit/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the ledger library."""
+"""Unit tests of clementinebend_ledger."""
--- a/tests/unit/ledger/scripts.py
+++ b/tests/unit/ledger/scripts.py
@@ -1,4 +1,4 @@
-"""Short ways to write ledger streams in tests."""
+"""Helpers that build ledger streams for tests."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -33,12 +33,12 @@
 
 
 def with_type_names(outcomes: Iterable[tuple[Any, ...]]) -> list[tuple[Any, ...]]:
-    """Return outcomes with their kinds, which tuples do not compare."""
+    """Return outcomes with their type names, which tuple equality ignores."""
     return [(type(outcome).__name__, *outcome) for outcome in outcomes]
 
 
 class Script:
-    """A stream as it grows, its state, and all outcomes."""
+    """A ledger stream that is replayed as it grows, with its state and all outcomes."""
 
     def __init__(self, *records: Record) -> None:
         self.state: LedgerState = empty_ledger()
