--- a/tests/unit/ledger/test_closing.py
+++ b/tests/unit/ledger/test_closing.py
@@ -80,7 +80,7 @@
     assert budget_summary(script.state, TEAM)[:5] == (100, 20, 0, 0, 80)
 
 
-def test_evidence_replaces_a_loss_and_never_the_reverse() -> None:
+def test_acknowledgement_replaces_a_loss_but_not_the_reverse() -> None:
     script = Script(
         top_up(100), scope(ALICE, (SIDECAR, SIDECAR_2)), request(60), close(ALICE)
     )
@@ -98,7 +98,7 @@
     assert script.add(ack(ALICE, BOB))[-1] == HolderReleased(ALICE, 60, 0)
 
 
-def test_dead_peer_is_discharged_by_its_own_sidecars() -> None:
+def test_dead_peer_counts_once_its_own_sidecars_acknowledge() -> None:
     script = Script(
         top_up(100), scope(ALICE, (), (BOB,)), scope(BOB, (SIDECAR,)), request(60)
     )
@@ -123,7 +123,7 @@
     assert budget_summary(script.state, TEAM)[:5] == (100, 0, 90, 0, 10)
 
 
-def test_peer_released_before_it_is_named_counts_as_discharged() -> None:
+def test_peer_released_before_it_is_named_counts_as_acknowledged() -> None:
     script = Script(top_up(100), close(BOB), scope(ALICE, (), (BOB,)), request(60))
     assert script.add(close(ALICE))[-1] == HolderReleased(ALICE, 60, 0)
 
--- a/tests/unit/ledger/test_fuzz_oracle.py
+++ b/tests/unit/ledger/test_fuzz_oracle.py
@@ -30,7 +30,7 @@
     return oracle
 
 
-def lost_parent() -> Oracle:
+def oracle_of_lost_parent() -> Oracle:
     """Return one of a part that nobody logged; its parent's rest is held."""
     return oracle_of(
         top_up(10),
@@ -42,8 +42,8 @@
     )
 
 
-def test_bill_of_a_part_that_nobody_logged_waits_for_its_parents_hold() -> None:
-    oracle = lost_parent()
+def test_bill_of_an_unlogged_transfer_is_paid_after_its_parents_hold() -> None:
+    oracle = oracle_of_lost_parent()
     oracle.parent_grants[GrantId("t")] = GrantId("g")
     oracle.check_quiescent()
     with pytest.raises(AssertionError):
@@ -53,13 +53,13 @@
     oracle.check_settled()
 
 
-def test_shortfall_that_no_parents_hold_covers_is_refused() -> None:
+def test_shortfall_without_a_parents_hold_is_rejected() -> None:
     with pytest.raises(AssertionError):
-        lost_parent().check_quiescent()
+        oracle_of_lost_parent().check_quiescent()
 
 
-def test_held_bill_that_the_budget_has_no_tokens_for_waits() -> None:
-    oracle = lost_parent()
+def test_held_bill_without_available_tokens_is_unheld() -> None:
+    oracle = oracle_of_lost_parent()
     oracle.parent_grants[GrantId("t")] = GrantId("g")
     doubt = settle(bill(3, "l", "gone", held=True))
     oracle.on_append(1, Batch(OPERATOR, 2, (doubt,)))
@@ -69,7 +69,7 @@
     oracle.check_settled()
 
 
-def test_bill_above_its_cost_is_refused() -> None:
+def test_bill_above_its_cost_is_rejected() -> None:
     oracle = oracle_of(top_up(10), request(10, "t"), settle(bill(5, grant="t")))
     with pytest.raises(AssertionError):
         oracle.check()
--- a/tests/unit/ledger/test_holder.py
+++ b/tests/unit/ledger/test_holder.py
@@ -132,13 +132,13 @@
     assert (again, free_amounts(holder)) == (first, [30])
 
 
-def test_cancelled_run_gives_everything_back() -> None:
+def test_cancelled_run_frees_its_whole_reservation() -> None:
     holder, _ = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 50, 0.0)
     assert free_amounts(cancel(holder, RUN)) == [50]
 
 
-def test_repeated_bill_of_another_run_gives_its_tokens_back() -> None:
+def test_repeated_bill_of_another_run_frees_its_tokens() -> None:
     holder, _ = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 20, 0.0)
     holder, _ = reserve(holder, TEAM, RUN_2, 20, 0.0)
@@ -153,7 +153,7 @@
     assert free_amounts(holder) == [30]
 
 
-def test_repeated_bill_of_the_same_run_gives_nothing_back() -> None:
+def test_repeated_bill_of_the_same_run_frees_nothing() -> None:
     holder, _ = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 20, 0.0)
     holder, made = settle(holder, RUN, KEY, 20)
@@ -192,7 +192,7 @@
     assert [record.amount for record in records] == [60]  # type: ignore[union-attr]
 
 
-def test_free_pieces_go_back_ahead_of_a_request_that_needs_them() -> None:
+def test_undersized_amounts_are_returned_ahead_of_a_request() -> None:
     holder, script = holder_with_grant(30, budget=60)
     holder, _ = reserve(holder, TEAM, RUN, 50, 0.0)
     holder = observe_budget(holder, TEAM, BudgetSummary(60, 0, 0, 30, 30, 0, 1))
@@ -216,7 +216,7 @@
     assert amounts == [6210, 100, 0]
 
 
-def test_holder_keeps_its_part_of_what_is_left_by_its_part_of_the_spending() -> None:
+def test_share_of_remaining_tokens_follows_share_of_spending() -> None:
     requested = []
     for fleet_spending in (100, 200, 400):
         holder, _ = holder_with_grant(100, budget=100_000)
@@ -235,7 +235,7 @@
     assert requested == [500, 475, 237]
 
 
-def test_holder_gives_back_a_part_when_another_is_refused() -> None:
+def test_holder_returns_tokens_when_another_is_refused() -> None:
     holder, script = holder_with_grant(80, budget=100)
     holder, _ = reserve(holder, TEAM, RUN, 10, 0.0)
     holder = observe_budget(holder, TEAM, BudgetSummary(100, 0, 0, 80, 20, 0, 1))
@@ -260,7 +260,7 @@
     assert amounts[0] < amounts[1]
 
 
-def test_surplus_goes_back_when_demand_fell() -> None:
+def test_surplus_is_returned_when_demand_falls() -> None:
     holder, script = holder_with_grant(100)
     holder, _ = reserve(holder, TEAM, RUN, 10, 0.0)
     holder = cancel(holder, RUN)
@@ -270,14 +270,14 @@
     assert free_amounts(holder) == []
 
 
-def test_granted_tokens_stay_while_their_run_is_about_to_take_them() -> None:
+def test_granted_tokens_are_not_returned_while_a_run_waits_for_them() -> None:
     script = Script(top_up(100))
     holder, _ = reserve(empty_holder(ALICE), TEAM, RUN, 60, 0.0)
     holder, _ = plan_and_read(holder, script)
     assert plan(holder, 100.0, 0.0)[1] == {}
 
 
-def test_own_close_ends_all_grants_but_bills_still_go() -> None:
+def test_own_close_ends_all_grants_but_bills_are_still_logged() -> None:
     holder, script = holder_with_grant(50)
     holder, _ = reserve(holder, TEAM, RUN, 40, 0.0)
     holder, scopes = widen(holder, (SIDECAR,))
@@ -336,7 +336,7 @@
     assert wait_hint(holder, TEAM, 60, 0.0).worth_waiting
 
 
-def test_hint_counts_no_pieces_together_while_no_grant_can_be_asked_for() -> None:
+def test_hint_needs_a_single_grant_while_no_grant_can_be_requested() -> None:
     holder, script = holder_with_grant(50)
     for run in (RUN, RUN_2):
         holder, _ = reserve(holder, TEAM, run, 50, 0.0)
@@ -351,7 +351,7 @@
     assert not wait_hint(holder, TEAM, 150, 0.0, can_request=False).worth_waiting
 
 
-def test_resume_takes_what_the_checkpoint_shows() -> None:
+def test_resume_applies_the_logged_records_of_a_checkpoint() -> None:
     holder, script = holder_with_grant(50)
     holder, scopes = widen(holder, (SIDECAR,))
     holder = append_and_read(holder, script, *scopes)
@@ -368,7 +368,7 @@
     assert resume(holder, script.state).closed
 
 
-def test_resume_takes_a_part_that_was_logged_meanwhile() -> None:
+def test_resume_adds_a_transfer_that_was_logged_meanwhile() -> None:
     script = Script(top_up(100), scope(BOB, (), (ALICE,)), request(60, "h", BOB))
     part = Transfer(TEAM, GrantId("t"), GrantId("h"), BOB, ALICE, 20)
     script.add(part)
@@ -376,7 +376,7 @@
     assert free_amounts(holder) == [20]
 
 
-def test_holder_that_the_log_forgot_is_closed() -> None:
+def test_holder_missing_from_the_checkpoint_is_closed() -> None:
     script = Script(top_up(9))
     holder, scopes = widen(empty_holder(ALICE), (SIDECAR,))
     holder = append_and_read(holder, script, *scopes)
--- a/tests/unit/ledger/test_recorded_traces.py
+++ b/tests/unit/ledger/test_recorded_traces.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("path", TRACES, ids=lambda path: path.stem)
-def test_trace_has_its_stated_outcomes(path: Path) -> None:
+def test_trace_has_its_expected_outcomes(path: Path) -> None:
     trace = loads(path.read_text())
     batches = [batch_of(step) for step in trace["steps"]]
     state = empty_ledger()
@@ -59,5 +59,5 @@
         assert ledger_digest(reader) == ledger_digest(state)
 
 
-def test_traces_are_there() -> None:
+def test_all_traces_are_found() -> None:
     assert len(TRACES) == 5
--- a/tests/unit/ledger/test_replay.py
+++ b/tests/unit/ledger/test_replay.py
@@ -129,7 +129,7 @@
     assert summary(script) == (100, 30, 0, 40, 30, 0)
 
 
-def test_return_gives_back_at_most_the_remainder() -> None:
+def test_return_is_at_most_the_remainder() -> None:
     script = Script(top_up(100), request(50))
     back = GrantReturn(TEAM, GrantId("g"), ALICE, 60)
     reduced = GrantReduced(TEAM, GrantId("g"), ALICE, 50)
@@ -181,7 +181,7 @@
     assert summary(script) == (105, 20, 0, 0, 85, 0)
 
 
-def test_what_was_spent_takes_tokens_before_what_may_have_been() -> None:
+def test_spent_shortfall_is_paid_before_unheld_amounts() -> None:
     script = Script(top_up(10), request(10))
     script.add(settle(bill(4, "l", "gone", held=True), bill(7, "m", "gone")))
     assert summary(script) == (10, 0, 0, 10, 0, 11)
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("run", ["run-l", "retry"])
-def test_proved_cost_replaces_a_held_bill_that_nothing_covered(run: str) -> None:
+def test_known_cost_replaces_an_uncovered_held_bill(run: str) -> None:
     script = Script(top_up(10), request(10), settle(bill(4, "l", "gone", held=True)))
     script.add(settle(bill(3, "l", "gone", run)), top_up(20, "second"))
     assert summary(script) == (30, 3, 0, 10, 17, 0)
--- a/tests/unit/ledger/test_transfers.py
+++ b/tests/unit/ledger/test_transfers.py
@@ -54,7 +54,7 @@
     )
 
 
-def test_part_becomes_a_grant_of_the_receiver_once() -> None:
+def test_transfer_becomes_a_grant_of_the_receiver_once() -> None:
     script = stream_with_peers()
     applied = TransferApplied(TEAM, TRANSFER_ID, GrantId("g"), ALICE, BOB, 20)
     assert script.add(transfer(20)) == (applied,)
@@ -77,7 +77,7 @@
     assert OverrunDetected(TEAM, GrantId("g"), 2) in script.add(transfer(42, "u"))
 
 
-def test_bill_ahead_of_its_transfer_is_moved_to_the_part() -> None:
+def test_bill_ahead_of_its_transfer_reduces_the_transfer() -> None:
     script = stream_with_peers(request(40, "h"))
     early = bill(15, grant="t")
     assert script.add(scripts.settle(early)) == (BillUnfunded(early, 15, 15),)
@@ -86,14 +86,14 @@
     assert script.state.grants[TRANSFER_ID]["remainder"] == 5
 
 
-def test_part_of_a_released_receiver_is_freed_or_held() -> None:
+def test_transfer_to_a_released_receiver_is_freed_or_held() -> None:
     freed = stream_with_peers(close(BOB), ack(BOB, SIDECAR), transfer(20))
     assert budget_summary(freed.state, TEAM)[:5] == (100, 0, 0, 40, 60)
     held = stream_with_peers(close(BOB), ack(BOB, SIDECAR, lost=True), transfer(20))
     assert budget_summary(held.state, TEAM)[:5] == (100, 0, 20, 40, 40)
 
 
-def test_clean_close_frees_only_what_was_not_passed_on() -> None:
+def test_clean_close_frees_only_what_was_not_transferred() -> None:
     script = stream_with_peers(transfer(20))
     assert script.add(close(ALICE, clean=True))[-1] == HolderReleased(ALICE, 40, 0)
     assert script.state.grants[TRANSFER_ID]["remainder"] == 20
@@ -109,7 +109,7 @@
     return holder
 
 
-def test_a_part_that_is_of_no_use_is_not_given() -> None:
+def test_transfer_below_the_minimum_is_not_sent() -> None:
     holder = holder_with_peer(Script())
     holder, message = send_transfer(holder, TEAM, TRANSFER_ID, BOB, 90, min_amount=61)
     assert message.amount == 0
@@ -148,7 +148,7 @@
     assert bob.budgets[TEAM]["grants"][TRANSFER_ID]["free"] == 50
 
 
-def test_receiver_takes_a_part_once_from_message_and_log() -> None:
+def test_receiver_adds_a_transfer_once_from_message_and_log() -> None:
     script = Script()
     alice, message = send_transfer(holder_with_peer(script), TEAM, TRANSFER_ID, BOB, 50)
     _, rows = plan(alice, 0.0, 0.0)
@@ -160,7 +160,7 @@
     assert bob.budgets[TEAM]["grants"][TRANSFER_ID]["free"] == 10
 
 
-def test_received_part_is_not_given_on() -> None:
+def test_received_transfer_is_not_transferred_again() -> None:
     bob, scopes = widen(empty_holder(BOB), (), (ALICE,))
     for outcome in Script().add(*scopes):
         bob = on_outcome(bob, outcome, 0.0)
@@ -177,7 +177,7 @@
     assert receive_transfer(bob, message).budgets == {}
 
 
-def test_receiver_logs_parts_before_it_acknowledges_a_close() -> None:
+def test_receiver_logs_transfers_before_it_acknowledges_a_close() -> None:
     script = Script()
     _, message = send_transfer(holder_with_peer(script), TEAM, TRANSFER_ID, BOB, 50)
     bob, records = refuse_sender(receive_transfer(empty_holder(BOB), message), ALICE)
