--- a/tests/unit/ledger/test_claims.py
+++ b/tests/unit/ledger/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: the first wins, never taken over, one recorded answer."""
+"""Tests of claims replay: the first claim of a key wins and is answered once."""
 
 import pytest
 
--- a/tests/unit/ledger/test_closing.py
+++ b/tests/unit/ledger/test_closing.py
@@ -1,4 +1,4 @@
-"""Close, acknowledgements and release: a remainder is freed late or held."""
+"""Tests of closing holders: a remainder is freed once all witnesses agree, or held."""
 
 import pytest
 
--- a/tests/unit/ledger/test_fuzz_oracle.py
+++ b/tests/unit/ledger/test_fuzz_oracle.py
@@ -1,4 +1,4 @@
-"""The fuzzing's oracle itself: what it accepts, and that it still refuses."""
+"""Tests of the fuzz oracle: it accepts valid states and rejects invalid ones."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 def oracle_of(*records: Record) -> Oracle:
-    """Return an oracle that knows one run, of 4 tokens under the part ``t``."""
+    """Return an oracle with one executed run, of 4 tokens under transfer ``t``."""
     oracle = Oracle()
     oracle.sidecars_lost = 1
     oracle.requests[RequestKey("k")] = Request(TEAM, 4)
@@ -31,7 +31,7 @@
 
 
 def oracle_of_lost_parent() -> Oracle:
-    """Return one of a part that nobody logged; its parent's rest is held."""
+    """Return an oracle whose transfer is unlogged and whose parent grant is held."""
     return oracle_of(
         top_up(10),
         scope(ALICE, (SIDECAR,)),
--- a/tests/unit/ledger/test_holder.py
+++ b/tests/unit/ledger/test_holder.py
@@ -1,4 +1,4 @@
-"""Holder: reservations, bills until logged, requests, returns and hints."""
+"""Tests of a holder: reservations, bills, grant requests, returns and wait hints."""
 
 import pytest
 
@@ -59,7 +59,7 @@
 def plan_and_read(
     holder: HolderState, script: Script, now: float = 0.0
 ) -> tuple[HolderState, list[Record]]:
-    """Plan, append and read back."""
+    """Append what the holder plans, and read it back."""
     holder, rows = plan(holder, now, 0.0)
     records = [record for row in rows.values() for record in row]
     return append_and_read(holder, script, *records), records
--- a/tests/unit/ledger/test_recorded_traces.py
+++ b/tests/unit/ledger/test_recorded_traces.py
@@ -1,4 +1,4 @@
-"""Recorded traces of ledger streams, replayed against stated outcomes."""
+"""Replay of recorded ledger streams, compared with their expected outcomes."""
 
 from json import loads
 from pathlib import Path
--- a/tests/unit/ledger/test_replay.py
+++ b/tests/unit/ledger/test_replay.py
@@ -1,4 +1,4 @@
-"""Replay: top-ups, grants, bills, holds, duplicates and checkpoints."""
+"""Tests of ledger replay: top-ups, grants, bills, holds, repeats and checkpoints."""
 
 from typing import Any
 
--- a/tests/unit/ledger/test_transfers.py
+++ b/tests/unit/ledger/test_transfers.py
@@ -1,4 +1,4 @@
-"""Parts of grants passed between peers: once, whichever record comes first."""
+"""Tests of transfers between peers: each counts once, whatever is logged first."""
 
 from clementinebend_ledger.holder import (
     HolderState,
