--- a/tests/unit/ledger/test_stateful_ledger.py
+++ b/tests/unit/ledger/test_stateful_ledger.py
@@ -1,7 +1,9 @@
-"""Stateful fuzzing of the ledger against an oracle with perfect knowledge.
+"""Stateful fuzzing of the ledger against an oracle that knows all executions.
 
-Entries, sidecars, peers and the log fail in every way that the interfaces
-allow, in any order. ``CLEMENTINEBEND_FUZZ=1`` runs more, with fresh seeds.
+Entries, sidecars, peers and the log fail in every way that their interfaces allow, in
+any order. ``CLEMENTINEBEND_FUZZ=1`` runs more examples, with new seeds. Otherwise the
+seed is derived from the source of the state machine without its comments, so an edit of
+its code or docstrings changes the sequences that are run.
 """
 
 from collections.abc import Iterator
@@ -38,7 +40,7 @@
 
 
 class LedgerMachine(TrafficFleet, RuleBasedStateMachine):
-    """The fleet around one ledger stream."""
+    """State machine of the fleet around one ledger stream."""
 
     def __init__(self) -> None:
         RuleBasedStateMachine.__init__(self)
@@ -103,7 +105,7 @@
     @precondition(lambda self: self.network.starts)
     @rule(which=picks)
     def late_start(self, which: int) -> None:
-        """Deliver a start late or twice, when its entry may be gone."""
+        """Deliver a start late or repeatedly, even if its entry is dead."""
         start = pick(self.network.starts, which)
         sidecar = self.sidecar(start.ticket.sidecar)
         if sidecar.alive and start.run not in self.oracle.refused:
@@ -134,7 +136,7 @@
     @precondition(lambda self: self.in_flight())
     @rule(which=picks, to=picks)
     def keep_receipt(self, which: int, to: int) -> None:
-        """Have a peer in force keep a receipt that its entry has."""
+        """Have a peer that is a logged witness keep a copy of a receipt."""
         entry, run = pick(self.in_flight(), which)
         receipt = self.sidecar(entry.in_flight[run].ticket.sidecar).finished.get(run)
         peer = pick(self.active_entries(), to)
@@ -146,7 +148,7 @@
     @precondition(lambda self: self.active_entries() and self.live_sidecars())
     @rule(at=picks, which=picks)
     def receipts_logged(self, at: int, which: int) -> None:
-        """Have a sidecar forget the receipts that an entry read back."""
+        """Notify a sidecar that the bills that an entry has read are logged."""
         entry = pick(self.active_entries(), at)
         sidecar = pick(self.live_sidecars(), which)
         billed = set(entry.state.billed_runs.values())
@@ -162,7 +164,7 @@
         passing=mostly,
     )
     def go_on(self, at: int, count: int, budget: str, passing: bool) -> None:
-        """Let entries do what they do without faults."""
+        """Have entries transfer, tick and serve without faults."""
         for index in range(count):
             self.transfer_and_use(
                 pick(self.active_entries(), at), fresh=False, passing=passing
@@ -193,7 +195,7 @@
     @precondition(lambda self: self.log.batches)
     @rule(which=integers(0, 999))
     def repeat(self, which: int) -> None:
-        """Append a batch again that took effect long ago."""
+        """Append an earlier batch again."""
         self.log.append(pick(self.log.batches, which))
 
     @precondition(lambda self: self.active_entries())
@@ -204,7 +206,7 @@
     @precondition(lambda self: self.serving_entries())
     @rule(at=picks, which=picks, budget=sampled_from(BUDGETS))
     def widen_and_serve(self, at: int, which: int, budget: str) -> None:
-        """Ask for a new sidecar, and use it only if it is in force."""
+        """Add a sidecar as a witness, and submit runs to it before that is logged."""
         self.new_sidecar()
         entry = pick(self.serving_entries(), at)
         entry.widen((self.sidecars[-1].incarnation,), ())
@@ -223,11 +225,11 @@
 
     @rule(at=picks, outage=booleans(), cut=booleans(), ends=booleans())
     def unreachable(self, at: int, outage: bool, cut: bool, ends: bool) -> None:
-        """Begin or end an outage for all, or a cut of one entry."""
+        """Begin or end an outage of the log, or disconnect one entry from it."""
         self.log.outage = outage and cut and not ends
         pick(self.entries, at).cut = cut and not ends
 
-    # Lives
+    # Process lifecycle
 
     @precondition(lambda self: len(self.active_entries()) > 1)
     @rule(at=picks)
@@ -293,10 +295,10 @@
         silent: bool,
         receiver_dies: bool,
     ) -> None:
-        """Close a holder and have witnesses acknowledge while it is unaware.
+        """Close a holder and have its witnesses acknowledge before it reads the close.
 
-        ``silent`` leaves out the receiver of its last part, as a peer and, if
-        that dies too, as a holder.
+        If ``silent``, the receiver of its last transfer does not acknowledge and, if
+        the receiver dies too, its own close is not acknowledged either.
         """
         closed = pick(self.serving_entries() or self.entries, victim)
         self.serve_at(closed, which, budget)
@@ -331,7 +333,7 @@
         for step in range(min(count, len(known))):
             self.notify(entry, *pick(known, which + step))
 
-    # Money
+    # Budgets and transfers
 
     @rule(budget=sampled_from(BUDGETS), which=integers(0, 3), amount=amounts)
     def top_up(self, budget: str, which: int, amount: int) -> None:
@@ -348,7 +350,7 @@
     def transfer(
         self, which: int, amount: int, arrives: bool, used: bool, dies: bool
     ) -> None:
-        """Pass a part of a grant: late, used at once, or by a sender that dies."""
+        """Transfer tokens that arrive late or are used at once; the sender may die."""
         sender, budget, receiver = pick(self.transfer_candidates(), which)
         if not self.transfer_tokens(sender, budget, receiver, amount, arrives):
             return
@@ -368,7 +370,7 @@
     @precondition(lambda self: self.oracle.holds())
     @rule(which=picks)
     def write_off(self, which: int) -> None:
-        """Charge what a key with a hold cost, as an operator found out."""
+        """Have an operator end the hold of a key with its true cost as the charge."""
         key = RequestKey(pick(sorted(self.oracle.holds()), which))
         if key not in self.oracle.requests:
             return
