--- a/tests/unit/ledger/fuzz_entry.py
+++ b/tests/unit/ledger/fuzz_entry.py
@@ -160,7 +160,7 @@
         """Receive a transfer from a peer."""
         self.holder = receive_transfer(self.holder, message)
 
-    def leave(self) -> None:
+    def stop_cleanly(self) -> None:
         """Close cleanly, which requires that no run is in flight."""
         self.holder, records = close_cleanly(self.holder)
         self.enqueue(records)
--- a/tests/unit/ledger/fuzz_traffic.py
+++ b/tests/unit/ledger/fuzz_traffic.py
@@ -183,5 +183,5 @@
                 self.write_and_read(entry)
             closer.read()
             assert len(self.log.batches) > before
-        closer.leave()
+        closer.stop_cleanly()
         self.write_and_read(closer)
--- a/tests/unit/ledger/test_stateful_ledger.py
+++ b/tests/unit/ledger/test_stateful_ledger.py
@@ -32,11 +32,11 @@
 BUDGETS = ("blue", "red")
 ENTRIES = 3
 SIDECARS = 3
-MOST_ENTRIES = 6
+MAX_ENTRIES = 6
 
 picks = integers(0, 59)
 amounts = integers(1, 40)
-mostly = sampled_from((True, True, True, False))
+mostly_true = sampled_from((True, True, True, False))
 
 
 class LedgerMachine(TrafficFleet, RuleBasedStateMachine):
@@ -113,7 +113,7 @@
 
     @precondition(lambda self: self.in_flight())
     @rule(which=picks)
-    def ask_again(self, which: int) -> None:
+    def resend_start(self, which: int) -> None:
         entry, run = pick(self.in_flight(), which)
         self.send_start(entry, entry.in_flight[run])
 
@@ -159,11 +159,13 @@
     @precondition(lambda self: self.active_entries())
     @rule(
         at=picks,
-        count=integers(1, MOST_ENTRIES),
+        count=integers(1, MAX_ENTRIES),
         budget=sampled_from(BUDGETS),
-        passing=mostly,
+        passing=mostly_true,
     )
-    def go_on(self, at: int, count: int, budget: str, passing: bool) -> None:
+    def run_without_faults(
+        self, at: int, count: int, budget: str, passing: bool
+    ) -> None:
         """Have entries transfer, tick and serve without faults."""
         for index in range(count):
             self.transfer_and_use(
@@ -186,7 +188,7 @@
 
     @precondition(lambda self: self.log.delayed_appends)
     @rule(which=picks, lost=booleans())
-    def arrive(self, which: int, lost: bool) -> None:
+    def deliver_append(self, which: int, lost: bool) -> None:
         batch = pick(self.log.delayed_appends, which)
         self.log.delayed_appends.remove(batch)
         if not lost:
@@ -243,13 +245,13 @@
         pick(self.active_entries(), at).paused = True
 
     @rule()
-    def wake_entries(self) -> None:
+    def resume_entries(self) -> None:
         for entry in self.entries:
             entry.paused = False
 
-    @precondition(lambda self: len(self.active_entries()) < MOST_ENTRIES)
+    @precondition(lambda self: len(self.active_entries()) < MAX_ENTRIES)
     @rule()
-    def cold_entry(self) -> None:
+    def add_entry(self) -> None:
         self.new_entry()
 
     @precondition(lambda self: self.live_sidecars())
@@ -259,13 +261,13 @@
         self.new_sidecar()
 
     @precondition(lambda self: self.serving_entries())
-    @rule(at=picks, passing=mostly)
-    def leave(self, at: int, passing: bool) -> None:
+    @rule(at=picks, passing=mostly_true)
+    def stop_cleanly(self, at: int, passing: bool) -> None:
         entry = pick(self.serving_entries(), at)
         if not entry.in_flight:
             self.transfer_and_use(entry, fresh=True, passing=passing)
             entry.give_up_waiting()
-            entry.leave()
+            entry.stop_cleanly()
             self.new_entry()
             self.write_and_read(entry)
 
@@ -281,11 +283,11 @@
         victim=picks,
         which=integers(0, 999),
         budget=sampled_from(BUDGETS),
-        passing=mostly,
+        passing=mostly_true,
         silent=booleans(),
         receiver_dies=booleans(),
     )
-    def close_out(
+    def close_unaware_holder(
         self,
         at: int,
         victim: int,
@@ -369,7 +371,7 @@
 
     @precondition(lambda self: self.oracle.holds())
     @rule(which=picks)
-    def write_off(self, which: int) -> None:
+    def resolve_hold_at_cost(self, which: int) -> None:
         """Have an operator end the hold of a key with its true cost as the charge."""
         key = RequestKey(pick(sorted(self.oracle.holds()), which))
         if key not in self.oracle.requests:
@@ -397,7 +399,7 @@
         for entry in self.active_entries()[::2]:
             if not entry.is_stopped and not entry.in_flight:
                 entry.give_up_waiting()
-                entry.leave()
+                entry.stop_cleanly()
         self.tick_all()
         self.close_all()
         self.oracle.check_quiescent()
