--- a/libs/ledger/src/clementinebend_ledger/holder.py
+++ b/libs/ledger/src/clementinebend_ledger/holder.py
@@ -176,11 +176,11 @@
     if can_request and any(asked >= amount for asked in use["requested"].values()):
         return WaitHint(True, 0.0)
     runs = [run for run in holder.runs.values() if run.budget == budget]
-    free_by_grant = _expected_free_by_grant(use, runs).values()
+    free_amounts = _expected_free_by_grant(use, runs).values()
     expected_free = (
-        sum(free_by_grant) + max(0, use["spare"])
+        sum(free_amounts) + max(0, use["spare"])
         if can_request
-        else max(free_by_grant, default=0.0)
+        else max(free_amounts, default=0.0)
     )
     if expected_free < amount:
         return WaitHint(False, 0.0)
@@ -193,12 +193,10 @@
 ) -> dict[GrantId, float]:
     """Estimate the free tokens of each grant once the runs have ended."""
     share = 1.0 - use["forecast"]["cost_share"]
-    free_by_grant = {grant: float(own["free"]) for grant, own in use["grants"].items()}
+    free_amounts = {grant: float(own["free"]) for grant, own in use["grants"].items()}
     for run in runs:
-        free_by_grant[run.grant] = (
-            free_by_grant.get(run.grant, 0.0) + run.amount * share
-        )
-    return free_by_grant
+        free_amounts[run.grant] = free_amounts.get(run.grant, 0.0) + run.amount * share
+    return free_amounts
 
 
 def _stop_waiting(holder: HolderState, run: RunId) -> None:
