--- a/libs/bench/src/clementinebend_bench/models/budget_arms.py
+++ b/libs/bench/src/clementinebend_bench/models/budget_arms.py
@@ -9,19 +9,19 @@
 from clementinebend_bench.models.fixed_grants import plan_fixed
 from clementinebend_bench.models.spending_world import World
 from clementinebend_bench.models.virtual_log import News, VirtualLog
-from clementinebend_ledger.giving import give, receive
 from clementinebend_ledger.holder import (
     HolderState,
     Reserved,
-    budget_seen,
     cancel,
     empty_holder,
+    observe_budget,
     on_outcome,
     plan,
     reserve,
     settle,
 )
 from clementinebend_ledger.holder_state import free_tokens
+from clementinebend_ledger.holder_transfers import receive_transfer, send_transfer
 from clementinebend_ledger.outcomes import ScopeWidened
 from clementinebend_ledger.replay import BudgetSummary
 from clementinebend_records.identifiers import GrantId, Incarnation, RequestKey, RunId
@@ -235,8 +235,10 @@
         self.parts += 1
         transfer = GrantId(f"part-{self.parts}")
         receiver = entry.holder.incarnation
-        peer.holder, part = give(peer.holder, row.budget, transfer, receiver, row.bound)
-        entry.holder = receive(entry.holder, part)
+        peer.holder, part = send_transfer(
+            peer.holder, row.budget, transfer, receiver, row.bound
+        )
+        entry.holder = receive_transfer(entry.holder, part)
         return part.amount >= row.bound
 
     def is_hopeless(self, entry: GrantEntry, waiting: Waiting, now: float) -> bool:
@@ -277,7 +279,7 @@
         entry.seen.update(news.summaries)
         for budget, summary in news.summaries.items():
             if budget in entry.holder.budgets:
-                entry.holder = budget_seen(entry.holder, budget, summary, now)
+                entry.holder = observe_budget(entry.holder, budget, summary, now)
         self.advance(entry, now)
 
     def note_own(self, entry: GrantEntry, outcome: object, now: float) -> None:
--- a/libs/ledger/src/clementinebend_ledger/closing.py
+++ b/libs/ledger/src/clementinebend_ledger/closing.py
@@ -1,9 +1,10 @@
-"""Scopes, closes and releases of holders.
+"""Replay of holder scopes, closes and releases.
 
-A closed holder's remainder is freed only when nobody can spend under it any
-more: every sidecar in its scope refuses it, and every peer in its scope
-refuses it or is itself closed with all of its own sidecars refusing. If a
-sidecar was lost with its memory, the remainder stays held instead.
+The unspent tokens of a closed holder are released only once no process can spend
+them: every sidecar in its scope rejects the holder, and every peer in its scope
+either rejects it or is itself closed and rejected by all of its own sidecars. If
+a sidecar lost its memory, the tokens are held instead, since it may have started
+runs that nobody else knows of.
 """
 
 from itertools import chain
@@ -25,7 +26,7 @@
     holder_entry,
     is_closed,
     pay_shortfall,
-    take_remainder,
+    reduce_grant,
     trim_oldest,
 )
 from clementinebend_records.identifiers import GrantId, Incarnation
@@ -33,7 +34,7 @@
 
 
 def widen_scope(state: LedgerState, record: Scope) -> tuple[LedgerOutcome, ...]:
-    """Add witnesses to a holder that is not closed."""
+    """Add witnesses to the scope of a holder that is not closed."""
     if is_closed(state, record.holder):
         return (Ignored("scope of a closed holder"),)
     entry = holder_entry(state, record.holder)
@@ -45,7 +46,7 @@
 
 
 def close_holder(state: LedgerState, record: HolderClose) -> tuple[LedgerOutcome, ...]:
-    """Close a holder; its own clean close releases it at once."""
+    """Close a holder; a clean close by the holder itself releases it at once."""
     clean = record.clean and record.closed_by == record.holder
     if record.holder in state.released:
         return (Ignored("holder already released"),)
@@ -55,11 +56,11 @@
     entry["closed"] = True
     entry["clean"] = clean
     closed = HolderClosed(record.holder)
-    return closed, *_release_discharged(state, record.holder)
+    return closed, *_release_acknowledged(state, record.holder)
 
 
 def acknowledge(state: LedgerState, record: CloseAck) -> tuple[LedgerOutcome, ...]:
-    """Note that a witness refuses a closed holder."""
+    """Record that a witness rejects a closed holder, or that it was lost."""
     entry = state.holders.get(record.holder)
     if entry is None or not entry["closed"]:
         return (Ignored("acknowledged holder is not closed"),)
@@ -69,15 +70,15 @@
     elif record.witness not in entry["peers"]:
         return (Ignored("witness is not in the holder's scope"),)
     elif record.lost:
-        return (Ignored("a lost peer is discharged by its own close"),)
+        return (Ignored("a lost peer counts only once it is closed itself"),)
     else:
         entry["peers"][record.witness] = WitnessStatus.ACKNOWLEDGED
     acknowledged = WitnessAcknowledged(*record)
-    return acknowledged, *_release_discharged(state, record.holder)
+    return acknowledged, *_release_acknowledged(state, record.holder)
 
 
 def peer_status(state: LedgerState, peer: Incarnation) -> WitnessStatus:
-    """Return what the close of ``peer`` itself proves about its spending."""
+    """Return the status of ``peer`` as a witness that follows from its own close."""
     if peer in state.released:
         return WitnessStatus(state.released[peer])
     entry = state.holders.get(peer)
@@ -85,10 +86,10 @@
         return WitnessStatus.OPEN
     if entry["clean"]:
         return WitnessStatus.ACKNOWLEDGED
-    return _joint_status(entry["sidecars"])
+    return _combined_status(entry["sidecars"])
 
 
-def _joint_status(statuses: dict[Incarnation, int]) -> WitnessStatus:
+def _combined_status(statuses: dict[Incarnation, int]) -> WitnessStatus:
     found = set(statuses.values())
     if WitnessStatus.OPEN in found:
         return WitnessStatus.OPEN
@@ -99,24 +100,24 @@
 def _set_status(
     statuses: dict[Incarnation, int], witness: Incarnation, status: WitnessStatus
 ) -> None:
-    """Let evidence replace a loss, but never a loss replace evidence."""
+    """Set a status; an acknowledgement replaces a loss, but not the reverse."""
     if statuses[witness] != WitnessStatus.ACKNOWLEDGED:
         statuses[witness] = status
 
 
-def _release_discharged(
+def _release_acknowledged(
     state: LedgerState, changed: Incarnation
 ) -> tuple[LedgerOutcome, ...]:
-    """Release every closed holder that a change of ``changed`` discharged."""
+    """Release the closed holders that the change of ``changed`` lets be released."""
     status = peer_status(state, changed)
     if status != WitnessStatus.OPEN:
-        _discharge_peer(state, changed, status)
+        _set_peer_status(state, changed, status)
     closing = [name for name, entry in state.holders.items() if entry["closed"]]
-    released = (_release_if_discharged(state, holder) for holder in closing)
+    released = (_release_if_acknowledged(state, holder) for holder in closing)
     return tuple(chain.from_iterable(released))
 
 
-def _discharge_peer(
+def _set_peer_status(
     state: LedgerState, peer: Incarnation, status: WitnessStatus
 ) -> None:
     scopes = (entry["peers"] for entry in state.holders.values())
@@ -125,7 +126,7 @@
             peers[peer] = status
 
 
-def _release_if_discharged(
+def _release_if_acknowledged(
     state: LedgerState, holder: Incarnation
 ) -> tuple[LedgerOutcome, ...]:
     entry = state.holders[holder]
@@ -145,12 +146,12 @@
 def _release_status(entry: HolderEntry) -> WitnessStatus:
     if entry["clean"]:
         return WitnessStatus.ACKNOWLEDGED
-    return _joint_status(entry["sidecars"] | entry["peers"])
+    return _combined_status(entry["sidecars"] | entry["peers"])
 
 
 def _end_grant(state: LedgerState, grant: GrantId, status: WitnessStatus) -> int:
     budget = state.budgets[state.grants[grant]["budget"]]
-    amount = take_remainder(state, grant, state.grants[grant]["remainder"])
+    amount = reduce_grant(state, grant, state.grants[grant]["remainder"])
     if status == WitnessStatus.LOST:
         add_hold(budget, grant, amount)
     pay_shortfall(budget)
--- a/libs/ledger/src/clementinebend_ledger/holder.py
+++ b/libs/ledger/src/clementinebend_ledger/holder.py
@@ -1,13 +1,14 @@
-"""One entry's use of its own grants: reserve, settle, cancel, witnesses.
+"""An entry's use of its grants: reservations, settlement and witnesses.
 
-Pure and in memory. Reservations are made before dispatch and settled with the
-true cost, so what runs is always covered by a grant that replay accepted
-(escrow transactions, O'Neil 1986). ``now`` is monotonic seconds, for policy.
+In memory and without I/O. A run is reserved at its upper bound before dispatch
+and settled at its true cost, so every run is covered by a grant that replay
+accepted (escrow transactions, O'Neil 1986). ``now`` is monotonic time in seconds;
+it affects only policy, never correctness.
 """
 
 from collections.abc import Iterable
 
-from clementinebend_ledger.giving import give, receive, refuse_sender
+from clementinebend_ledger.holder_outcomes import on_outcome
 from clementinebend_ledger.holder_state import (
     BudgetUse,
     HolderState,
@@ -20,8 +21,12 @@
     empty_holder,
     release_busy,
 )
-from clementinebend_ledger.holding import on_outcome
-from clementinebend_ledger.planning import budget_seen, close_cleanly, plan
+from clementinebend_ledger.holder_transfers import (
+    receive_transfer,
+    refuse_sender,
+    send_transfer,
+)
+from clementinebend_ledger.planning import close_cleanly, observe_budget, plan
 from clementinebend_ledger.resuming import resume
 from clementinebend_ledger.sizing import observe_cost, observe_reservation
 from clementinebend_records.identifiers import (
@@ -37,15 +42,15 @@
     "NeedsGrant",
     "Reserved",
     "WaitHint",
-    "budget_seen",
+    "observe_budget",
     "cancel",
     "close_cleanly",
     "empty_holder",
-    "give",
+    "send_transfer",
     "has_witness",
     "on_outcome",
     "plan",
-    "receive",
+    "receive_transfer",
     "refuse_sender",
     "reserve",
     "resume",
@@ -58,18 +63,18 @@
 def reserve(
     holder: HolderState, budget: str, run: RunId, amount: int, now: float
 ) -> tuple[HolderState, Reserved | NeedsGrant]:
-    """Set ``amount`` aside for a run, in the oldest grant that has room.
+    """Reserve ``amount`` tokens for a run in the oldest grant with enough free.
 
-    A run that has a reservation keeps it, whatever it asks for now. One that
-    finds no grant is remembered as wanted until it reserves or is
-    cancelled, and ``plan`` asks for a grant that has room for it.
+    A run that already has a reservation keeps it, whatever the amount. A run for
+    which no grant suffices is kept as wanted until it gets a reservation or is
+    cancelled, and ``plan`` requests a grant that is large enough for it.
     """
     use = budget_use(holder, budget, now)
     if holder.closed:
         return holder, NeedsGrant(amount)
     if run in holder.runs:
         return holder, Reserved(*holder.runs[run][1:3])
-    grant = _oldest_with_room(use, amount)
+    grant = _oldest_sufficient_grant(use, amount)
     if grant is None:
         use["wanted"][run] = amount
         holder.waiting[run] = budget
@@ -93,10 +98,10 @@
 ) -> tuple[HolderState, Bill | None]:
     """Bill a run and free the rest of its reservation.
 
-    The bill is kept until replay has it. ``held`` is for a run whose cost is
-    not known: give the whole reservation. Returns no bill for a run that is
-    not reserved, so a second settle has no effect. With ``now`` the forecast
-    learns how long runs take.
+    The bill is kept until it is read back from the log. For a run of unknown cost,
+    set ``held`` and pass the whole reservation as ``amount``. Without a reservation
+    there is no bill, so settling a run twice has no effect. With ``now``, the
+    run's duration is added to the forecast.
     """
     reservation = holder.runs.pop(run, None)
     if reservation is None:
@@ -113,7 +118,7 @@
 
 
 def cancel(holder: HolderState, run: RunId) -> HolderState:
-    """End a run that is proved not run: all of its reservation comes back."""
+    """Free the whole reservation of a run that is known not to have executed."""
     _stop_waiting(holder, run)
     reservation = holder.runs.pop(run, None)
     if reservation is not None:
@@ -130,13 +135,13 @@
     peers: tuple[Incarnation, ...] = (),
     stream: str = "",
 ) -> tuple[HolderState, tuple[Scope, ...]]:
-    """Return the scope records to append for witnesses not asked for yet.
+    """Return the scope records to append for witnesses not requested before.
 
-    A holder that covers several streams names the one it widens.
+    ``stream`` is the stream whose scope is widened, if the holder has several.
     """
     if holder.closed:
         return holder, ()
-    asked = holder.widening.setdefault(stream, {})
+    asked = holder.requested_witnesses.setdefault(stream, {})
     new_sidecars = tuple(name for name in sidecars if name not in asked)
     new_peers = tuple(name for name in peers if name not in asked)
     if not new_sidecars and not new_peers:
@@ -146,42 +151,52 @@
 
 
 def has_witness(holder: HolderState, stream: str, witness: Incarnation) -> bool:
-    """Return whether a witness may be used: its scope record was read back."""
+    """Return whether a witness can be used: its scope record has been read back."""
     return not holder.closed and witness in holder.witnesses.get(stream, {})
 
 
 def wait_hint(
-    holder: HolderState, budget: str, amount: int, now: float, can_ask: bool = True
+    holder: HolderState,
+    budget: str,
+    amount: int,
+    now: float,
+    can_request: bool = True,
 ) -> WaitHint:
-    """Say whether to queue a run that found no grant, rather than refuse it.
+    """Return whether to queue a run that found no grant, rather than refuse it.
 
-    Worth it when a requested grant has room for it, or when the runs in
-    progress will likely give enough back: near the end of a budget the upper
-    bounds, not the costs, are what fills it. Without ``can_ask`` (the log does
-    not answer) no grant comes and pieces cannot be exchanged for a larger one,
-    so a single grant at hand must be enough.
+    Waiting is worthwhile if a requested grant is large enough, or if the runs in
+    progress will probably free enough: near the end of a budget, reserved upper
+    bounds take up most of it, not costs. Without ``can_request`` (the log does not
+    answer) there are no new grants, and smaller ones cannot be returned for a larger
+    one, so a single existing grant must suffice.
     """
     use = holder.budgets.get(budget)
     if use is None or holder.closed:
         return WaitHint(False, 0.0)
-    if can_ask and any(asked >= amount for asked in use["requested"].values()):
+    if can_request and any(asked >= amount for asked in use["requested"].values()):
         return WaitHint(True, 0.0)
     runs = [run for run in holder.runs.values() if run.budget == budget]
-    room = _room_by_grant(use, runs).values()
-    most = sum(room) + max(0, use["spare"]) if can_ask else max(room, default=0.0)
-    if most < amount:
+    free_amounts = _expected_free_by_grant(use, runs).values()
+    expected_free = (
+        sum(free_amounts) + max(0, use["spare"])
+        if can_request
+        else max(free_amounts, default=0.0)
+    )
+    if expected_free < amount:
         return WaitHint(False, 0.0)
     oldest = min((run.since for run in runs), default=now)
     return WaitHint(True, max(0.0, oldest + use["forecast"]["run_seconds"] - now))
 
 
-def _room_by_grant(use: BudgetUse, runs: Iterable[Reservation]) -> dict[GrantId, float]:
-    """Return what each grant will likely have free when the runs have ended."""
+def _expected_free_by_grant(
+    use: BudgetUse, runs: Iterable[Reservation]
+) -> dict[GrantId, float]:
+    """Estimate the free tokens of each grant once the runs have ended."""
     share = 1.0 - use["forecast"]["cost_share"]
-    room = {grant: float(own["free"]) for grant, own in use["grants"].items()}
+    free_amounts = {grant: float(own["free"]) for grant, own in use["grants"].items()}
     for run in runs:
-        room[run.grant] = room.get(run.grant, 0.0) + run.amount * share
-    return room
+        free_amounts[run.grant] = free_amounts.get(run.grant, 0.0) + run.amount * share
+    return free_amounts
 
 
 def _stop_waiting(holder: HolderState, run: RunId) -> None:
@@ -190,6 +205,6 @@
         holder.budgets[budget]["wanted"].pop(run, None)
 
 
-def _oldest_with_room(use: BudgetUse, amount: int) -> GrantId | None:
+def _oldest_sufficient_grant(use: BudgetUse, amount: int) -> GrantId | None:
     grants = use["grants"].items()
     return next((name for name, own in grants if own["free"] >= amount), None)
--- a/libs/ledger/src/clementinebend_ledger/holding.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_outcomes.py
@@ -1,14 +1,14 @@
-"""What a holder learns from replay: one function per outcome."""
+"""How outcomes of replay change a holder, with one handler per outcome type."""
 
 from functools import singledispatch
 from typing import Any
 
-from clementinebend_ledger.giving import add_grant, note_transfer
 from clementinebend_ledger.holder_state import (
     HolderState,
     budget_use,
     release_busy,
 )
+from clementinebend_ledger.holder_transfers import add_grant, remember_transfer
 from clementinebend_ledger.outcomes import (
     Billed,
     BillRepeated,
@@ -28,19 +28,21 @@
 def on_outcome(
     holder: HolderState, outcome: LedgerOutcome, now: float, stream: str = ""
 ) -> HolderState:
-    """Learn from an outcome of replay, of this holder's records or others'.
+    """Apply an outcome of replay, of a record of this holder or of another.
 
-    A holder that covers several streams passes the one the outcome is of.
+    ``stream`` is the stream of the outcome, if the holder has several.
     """
-    return _learn(outcome, holder, now, stream)
+    return _apply_outcome(outcome, holder, now, stream)
 
 
 @singledispatch
-def _learn(outcome: Any, holder: HolderState, now: float, stream: str) -> HolderState:
+def _apply_outcome(
+    outcome: Any, holder: HolderState, now: float, stream: str
+) -> HolderState:
     return holder
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: GrantAccepted, holder: HolderState, now: float, stream: str
 ) -> HolderState:
@@ -55,12 +57,12 @@
     return holder
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: GrantRefused, holder: HolderState, now: float, stream: str
 ) -> HolderState:
     if outcome.holder != holder.incarnation:
-        return _hear_call(holder, outcome)
+        return _record_peer_refusal(holder, outcome)
     use = budget_use(holder, outcome.budget, now)
     asked = use["requested"].pop(outcome.grant, None)
     if asked is None:
@@ -71,44 +73,44 @@
     return holder
 
 
-@_learn.register
+@_apply_outcome.register
 def _(outcome: Billed, holder: HolderState, now: float, stream: str) -> HolderState:
-    return _on_bill(holder, outcome.bill, 0)
+    return _on_logged_bill(holder, outcome.bill, 0)
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: BillUnfunded, holder: HolderState, now: float, stream: str
 ) -> HolderState:
-    return _on_bill(holder, outcome.bill, 0)
+    return _on_logged_bill(holder, outcome.bill, 0)
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: BillRepeated, holder: HolderState, now: float, stream: str
 ) -> HolderState:
-    """Take back what another run of the key has paid already."""
+    """Free the tokens of a bill if another run of the key was billed before."""
     bill = outcome.bill
     freed = 0 if outcome.billed_run == bill.run else bill.amount
-    return _on_bill(holder, bill, freed)
+    return _on_logged_bill(holder, bill, freed)
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: TransferApplied, holder: HolderState, now: float, stream: str
 ) -> HolderState:
-    """Note a part as logged; take one whose message was lost."""
+    """Mark a transfer as logged; as its receiver, add it if the message was lost."""
     holder.transfers.pop(outcome.transfer, None)
-    mine = outcome.receiver == holder.incarnation and not holder.closed
-    if mine and outcome.transfer not in holder.known_transfers:
-        note_transfer(holder, outcome.transfer)
+    is_receiver = outcome.receiver == holder.incarnation and not holder.closed
+    if is_receiver and outcome.transfer not in holder.known_transfers:
+        remember_transfer(holder, outcome.transfer)
         add_grant(
             holder, outcome.budget, outcome.transfer, outcome.amount, transferred=True
         )
     return holder
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: HolderClosed, holder: HolderState, now: float, stream: str
 ) -> HolderState:
@@ -117,7 +119,7 @@
     return holder._replace(closed=closed)
 
 
-@_learn.register
+@_apply_outcome.register
 def _(
     outcome: ScopeWidened, holder: HolderState, now: float, stream: str
 ) -> HolderState:
@@ -128,16 +130,19 @@
     return holder
 
 
-def _hear_call(holder: HolderState, outcome: GrantRefused) -> HolderState:
-    """Note what another holder lacks: ``plan`` gives a part back."""
+def _record_peer_refusal(holder: HolderState, outcome: GrantRefused) -> HolderState:
+    """Record what another holder was refused, so that ``plan`` returns tokens."""
     use = holder.budgets.get(outcome.budget)
     if use is not None and outcome.reason == RefusalReason.INSUFFICIENT:
         use["lacking"] = max(use["lacking"], outcome.amount - outcome.available)
     return holder
 
 
-def _on_bill(holder: HolderState, bill: Bill, freed: int) -> HolderState:
-    """Forget a logged bill; another witness may have logged it first."""
+def _on_logged_bill(holder: HolderState, bill: Bill, freed: int) -> HolderState:
+    """Drop a bill read back from the log, which another witness may have logged.
+
+    In that case the run may still have a reservation, which ends here.
+    """
     unlogged = holder.bills.pop(bill.run, None)
     if unlogged is not None:
         release_busy(holder.budgets[unlogged.budget], bill.grant, freed)
--- a/libs/ledger/src/clementinebend_ledger/giving.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_transfers.py
@@ -1,8 +1,9 @@
-"""Parts of grants that pass directly between entries on one side of a cut.
+"""Direct transfers of granted tokens between entries, for network partitions.
 
-The sender subtracts before it sends; a part is never passed on twice. Both
-sides log the record, so a part is known whichever of them lives. Source:
-rights transfer of bounded counters (Balegas et al. 2015).
+The sender deducts the amount before it sends, and a received transfer is never
+transferred again. Both sides log the record, so that it reaches the log if either
+of them survives. Source: rights transfer of bounded counters (Balegas et al.
+2015).
 """
 
 from clementinebend_ledger.holder_state import (
@@ -11,7 +12,7 @@
     OwnGrant,
     UnloggedTransfer,
     budget_use,
-    forget_spent,
+    delete_if_spent,
 )
 from clementinebend_ledger.state import trim_oldest
 from clementinebend_records.identifiers import GrantId, Incarnation
@@ -19,7 +20,7 @@
 from clementinebend_records.records import Transfer
 
 
-def give(
+def send_transfer(
     holder: HolderState,
     budget: str,
     transfer: GrantId,
@@ -27,14 +28,15 @@
     amount: int,
     stream: str = "",
     question: int = 0,
-    least: int = 0,
+    min_amount: int = 0,
 ) -> tuple[HolderState, TransferGive]:
-    """Pass up to ``amount`` of one of the holder's own grants to a peer.
+    """Transfer up to ``amount`` tokens of one of the holder's grants to a peer.
 
-    Amount 0 if none has free tokens or as many as ``least``, if the receiver
-    is not a witness in force, or if ``transfer`` was used already.
+    The message has amount 0 if no grant has at least ``min_amount`` free tokens, if
+    the receiver is not a logged witness of the holder or the holder is closed, or if
+    the id ``transfer`` was used before.
     """
-    grant = _largest_own(holder, budget, least)
+    grant = _largest_original_grant(holder, budget, min_amount)
     usable = receiver in holder.witnesses.get(stream, {}) and not holder.closed
     known = transfer in holder.known_transfers
     if grant is None or not usable or known or amount <= 0:
@@ -46,17 +48,17 @@
     use = budget_use(holder, budget)
     given = min(amount, use["grants"][grant]["free"])
     use["grants"][grant]["free"] -= given
-    forget_spent(use, grant)
+    delete_if_spent(use, grant)
     record = Transfer(budget, transfer, grant, holder.incarnation, receiver, given)
-    _note_unlogged(holder, record)
+    _add_unlogged(holder, record)
     return holder, TransferGive(question, *record)
 
 
-def receive(holder: HolderState, message: TransferGive) -> HolderState:
-    """Take a part that a peer passed: it is usable at once.
+def receive_transfer(holder: HolderState, message: TransferGive) -> HolderState:
+    """Add a transfer from a peer as a grant, which can be used at once.
 
-    Refused from a sender whose close this entry has acknowledged or read, and
-    as a repeat; the tokens then stay with the sender's grant.
+    A repeated transfer is ignored, and so is one of a sender whose close this entry
+    has acknowledged or read; the tokens of the latter stay in the sender's grant.
     """
     misplaced = message.receiver != holder.incarnation or message.amount <= 0
     refused = holder.closed or message.sender in holder.closed_senders
@@ -64,7 +66,7 @@
     if misplaced or refused or known:
         return holder
     record = Transfer(*message[1:])
-    _note_unlogged(holder, record)
+    _add_unlogged(holder, record)
     add_grant(holder, record.budget, record.transfer, record.amount, transferred=True)
     return holder
 
@@ -72,10 +74,10 @@
 def refuse_sender(
     holder: HolderState, sender: Incarnation
 ) -> tuple[HolderState, tuple[Transfer, ...]]:
-    """Refuse a closed sender's parts from now on.
+    """Reject all further transfers of a closed sender.
 
-    Returns the records to append in the batch that acknowledges its close,
-    ahead of the acknowledgement.
+    Returns the unlogged transfers received from it. The batch that acknowledges the
+    close must contain them ahead of the acknowledgement.
     """
     holder.closed_senders[sender] = None
     unlogged = (unlogged.record for unlogged in holder.transfers.values())
@@ -85,25 +87,27 @@
 def add_grant(
     holder: HolderState, budget: str, grant: GrantId, amount: int, transferred: bool
 ) -> None:
-    """Add a grant as the newest."""
+    """Add a grant behind the existing ones of its budget."""
     own = OwnGrant(free=amount, busy=0, transferred=transferred)
     budget_use(holder, budget)["grants"][grant] = own
 
 
-def note_transfer(holder: HolderState, transfer: GrantId) -> None:
-    """Remember that a part was given or taken."""
+def remember_transfer(holder: HolderState, transfer: GrantId) -> None:
+    """Remember the id of a transfer that was sent or received."""
     holder.known_transfers[transfer] = None
     trim_oldest(holder.known_transfers, TRANSFER_WINDOW)
 
 
-def _note_unlogged(holder: HolderState, record: Transfer) -> None:
+def _add_unlogged(holder: HolderState, record: Transfer) -> None:
     holder.transfers[record.transfer] = UnloggedTransfer(record, sent=False)
-    note_transfer(holder, record.transfer)
+    remember_transfer(holder, record.transfer)
 
 
-def _largest_own(holder: HolderState, budget: str, least: int) -> GrantId | None:
+def _largest_original_grant(
+    holder: HolderState, budget: str, min_amount: int
+) -> GrantId | None:
     use = holder.budgets.get(budget)
     grants = use["grants"].items() if use else ()
     own = {name: grant["free"] for name, grant in grants if not grant["transferred"]}
     largest = max(own, key=own.__getitem__, default=None)
-    return largest if largest and own[largest] >= max(1, least) else None
+    return largest if largest and own[largest] >= max(1, min_amount) else None
--- a/libs/ledger/src/clementinebend_ledger/planning.py
+++ b/libs/ledger/src/clementinebend_ledger/planning.py
@@ -1,22 +1,23 @@
-"""What a holder appends next: transfers, bills, returns and grant requests.
+"""The records that a holder appends: transfers, bills, returns, grant requests.
 
-Order within a batch matters: a transfer goes before bills under it, returns
-before the request that may need them. Nothing is repeated while its outcome
-is unread, since the stream's writer appends a batch until it is read back.
+Order within a batch matters: a transfer precedes the bills paid from it, and
+returns precede the request that may need the returned tokens. No record is planned
+twice while its outcome is unread, since the stream's writer retries a batch until
+it is read back.
 """
 
 from clementinebend_ledger.holder_state import (
     BudgetUse,
     HolderState,
     budget_use,
-    forget_spent,
+    delete_if_spent,
     free_tokens,
 )
 from clementinebend_ledger.sizing import (
     REFILL_SHARE,
     SURPLUS_FACTOR,
     Accounts,
-    called_back,
+    amount_to_return,
     observe,
     share_of_available,
     target,
@@ -37,11 +38,12 @@
 def plan(
     holder: HolderState, now: float, log_delay: float
 ) -> tuple[HolderState, dict[str, tuple[Record, ...]]]:
-    """Return the records to append now, by budget; ``log_delay`` in seconds.
+    """Return the records to append now, by budget.
 
-    A closed holder still logs its transfers and bills.
+    ``log_delay`` is the current delay of the log in seconds. A closed holder still
+    logs its transfers and bills.
     """
-    records = _evidence(holder)
+    records = _unsent_records(holder)
     if holder.closed:
         return holder, {name: tuple(rows) for name, rows in records.items()}
     for budget in holder.budgets:
@@ -52,10 +54,10 @@
 
 
 def close_cleanly(holder: HolderState) -> tuple[HolderState, tuple[Record, ...]]:
-    """Return the last records of a planned stop, to append as one batch.
+    """Close the holder; return its last records, to append as one batch.
 
-    Raises ``RuntimeError`` while a run is reserved: a clean close vouches that
-    nothing is in flight.
+    Raises ``RuntimeError`` while a run is reserved: a clean close guarantees that no
+    run is in progress.
     """
     if holder.runs:
         raise RuntimeError("a holder with reserved runs cannot close cleanly")
@@ -66,10 +68,13 @@
     return holder._replace(closed=True), (*transfers, *settles, close)
 
 
-def budget_seen(
+def observe_budget(
     holder: HolderState, budget: str, summary: BudgetSummary, now: float = 0.0
 ) -> HolderState:
-    """Learn a budget's accounts as replay has them now."""
+    """Update the holder with the current accounts of a budget.
+
+    A higher available amount ends the backoff after refusals.
+    """
     use = budget_use(holder, budget)
     if use["billed"] >= 0:
         observe(use["fleet"], summary.billed - use["billed"], now)
@@ -83,8 +88,8 @@
     return holder
 
 
-def _evidence(holder: HolderState) -> dict[str, list[Record]]:
-    """Return transfers and bills not sent yet, and mark them as sent."""
+def _unsent_records(holder: HolderState) -> dict[str, list[Record]]:
+    """Return the transfers and bills not planned before, and mark them as sent."""
     records: dict[str, list[Record]] = {}
     for transfer, part in holder.transfers.items():
         if not part.sent:
@@ -109,7 +114,7 @@
     holder: HolderState, budget: str, now: float, log_delay: float
 ) -> tuple[HolderState, list[Record]]:
     use = holder.budgets[budget]
-    goal = target(
+    target_amount = target(
         use["forecast"],
         Accounts(tokens_per_second(use["fleet"], now), use["left"], use["holders"]),
         now,
@@ -118,62 +123,65 @@
     need = _unmet_need(use)
     if not need:
         spare = free_tokens(use) - sum(use["wanted"].values())
-        called = called_back(max(0, spare), use["lacking"], use["granted"])
+        returned = amount_to_return(max(0, spare), use["lacking"], use["granted"])
         use["lacking"] = 0
-        surplus = max(called, spare - int(goal * SURPLUS_FACTOR))
-        returns = _returns(holder, budget, _parts(use, surplus))
+        surplus = max(returned, spare - int(target_amount * SURPLUS_FACTOR))
+        returns = _deduct_returns(holder, budget, _split_over_grants(use, surplus))
         if returns:
             return holder, returns
     if any(use["requested"].values()) or now < use["retry_at"]:
         return holder, []
-    return _request(holder, budget, need, goal)
+    return _request(holder, budget, need, target_amount)
 
 
 def _unmet_need(use: BudgetUse) -> int:
-    """Return the need of all waiting runs, 0 if the largest grant has room."""
+    """Return the total that waiting runs need, or 0 if one grant covers it."""
     frees = (own["free"] for own in use["grants"].values())
     waiting = sum(use["wanted"].values())
     return waiting if waiting > max(frees, default=0) else 0
 
 
 def _request(
-    holder: HolderState, budget: str, need: int, goal: int
+    holder: HolderState, budget: str, need: int, target_amount: int
 ) -> tuple[HolderState, list[Record]]:
-    """Ask for the need, and for as much of the goal as the budget allows.
+    """Request the needed amount, or a refill up to the target if that is more.
 
-    Where the budget alone does not cover the need, free pieces too small for
-    any waiting run go back in the same batch, ahead of the request.
+    If the available amount does not cover the need, free amounts that are too small
+    for any waiting run are returned in the same batch, ahead of the request.
     """
     use = holder.budgets[budget]
     seen = use["spare"] >= 0
-    pieces = _fragments(use) if need and seen else {}
-    limit = use["spare"] + sum(pieces.values())
-    fitted = _fitting_need(use, limit) if need and seen else need
-    amount = max(fitted, _refill(use, goal))
+    undersized = _undersized_grants(use) if need and seen else {}
+    limit = use["spare"] + sum(undersized.values())
+    affordable_need = _need_within_limit(use, limit) if need and seen else need
+    amount = max(affordable_need, _refill_amount(use, target_amount))
     if amount <= 0:
         return holder, []
-    parts = pieces if fitted > use["spare"] else {}
-    returns = _returns(holder, budget, parts)
+    amounts = undersized if affordable_need > use["spare"] else {}
+    returns = _deduct_returns(holder, budget, amounts)
     holder, request = _new_request(holder, budget, amount)
     return holder, [*returns, request]
 
 
-def _refill(use: BudgetUse, goal: int) -> int:
-    """Return what to ask for ahead of need, below ``REFILL_SHARE`` of the goal."""
+def _refill_amount(use: BudgetUse, target_amount: int) -> int:
+    """Return the tokens to request ahead of need.
+
+    There is no refill while the free tokens are ``REFILL_SHARE`` of the target.
+    """
     free = free_tokens(use)
-    if free >= goal * REFILL_SHARE:
+    if free >= target_amount * REFILL_SHARE:
         return 0
-    lacking = goal - free
+    lacking = target_amount - free
     if use["spare"] < 0:
         return lacking
     return min(lacking, share_of_available(use["spare"], use["holders"]))
 
 
-def _fitting_need(use: BudgetUse, limit: int) -> int:
-    """Return the need of as many waiting runs, oldest first, as fit.
+def _need_within_limit(use: BudgetUse, limit: int) -> int:
+    """Return the total need of the waiting runs that fit, tried oldest first.
 
-    If none fits, the smallest need: asked again after each backoff, since the
-    budget may have more than was last seen.
+    If none fits, return the smallest need: it is requested after each backoff, since
+    the budget may have more than was last seen.
     """
     total = 0
     for amount in use["wanted"].values():
@@ -182,35 +190,35 @@
     return total or min(use["wanted"].values())
 
 
-def _fragments(use: BudgetUse) -> dict[GrantId, int]:
-    """Return free pieces that no waiting run fits into."""
+def _undersized_grants(use: BudgetUse) -> dict[GrantId, int]:
+    """Return the free amounts that are too small for any waiting run, by grant."""
     smallest = min(use["wanted"].values())
     grants = use["grants"].items()
     return {name: own["free"] for name, own in grants if 0 < own["free"] < smallest}
 
 
-def _parts(use: BudgetUse, surplus: int) -> dict[GrantId, int]:
-    """Split a surplus over grants, the oldest first."""
-    parts: dict[GrantId, int] = {}
+def _split_over_grants(use: BudgetUse, surplus: int) -> dict[GrantId, int]:
+    """Split a surplus over the free tokens of the grants, oldest first."""
+    amounts: dict[GrantId, int] = {}
     for name, own in use["grants"].items():
         part = min(surplus, own["free"])
         if part > 0:
-            parts[name] = part
+            amounts[name] = part
             surplus -= part
-    return parts
+    return amounts
 
 
-def _returns(
-    holder: HolderState, budget: str, parts: dict[GrantId, int]
+def _deduct_returns(
+    holder: HolderState, budget: str, amounts: dict[GrantId, int]
 ) -> list[Record]:
-    """Subtract the parts at once, then tell the log."""
+    """Deduct the amounts at once and return the records that log it."""
     use = holder.budgets[budget]
-    for name, part in parts.items():
+    for name, part in amounts.items():
         use["grants"][name]["free"] -= part
-        forget_spent(use, name)
+        delete_if_spent(use, name)
     return [
         GrantReturn(budget, name, holder.incarnation, part)
-        for name, part in parts.items()
+        for name, part in amounts.items()
     ]
 
 
--- a/libs/ledger/src/clementinebend_ledger/replay.py
+++ b/libs/ledger/src/clementinebend_ledger/replay.py
@@ -1,7 +1,8 @@
-"""Replay of one ledger stream: what each record does to the accounts.
+"""Replay of a ledger stream, with one handler per record type.
 
-State is consumed: replay updates it in place and hands it back. Replay is
-total and deterministic, so all readers agree at every offset.
+Replay updates the state in place and returns it, so the argument must not be used
+afterwards. It is deterministic and accepts every record, so all readers have the
+same state at each offset.
 """
 
 from functools import singledispatch
@@ -34,12 +35,12 @@
     budget_entry,
     budget_summary,
     empty_ledger,
-    end_hold,
     holder_entry,
-    in_doubt,
     is_closed,
     pay_shortfall,
-    take_remainder,
+    reduce_grant,
+    resolve_hold,
+    uncertain_amount,
 )
 from clementinebend_ledger.transfers import apply_transfer
 from clementinebend_records.identifiers import Incarnation
@@ -72,20 +73,20 @@
 def replay(
     state: LedgerState, offset: int, batch: Batch
 ) -> tuple[LedgerState, tuple[LedgerOutcome, ...]]:
-    """Apply the batch at ``offset``; one that was applied already is dropped."""
+    """Apply the batch at ``offset``; a batch that was already applied is ignored."""
     if offset <= state.offset:
         return state, (Ignored("offset already replayed"),)
-    moved = state._replace(offset=offset)
+    next_state = state._replace(offset=offset)
     if batch.sequence <= state.sequences.get(batch.writer, 0):
-        return moved, (Ignored("batch repeated"),)
-    _note_writer(moved, batch.writer, batch.sequence)
-    outcomes = [apply(record, moved) for record in batch.records]
-    return moved, tuple(chain.from_iterable(outcomes))
+        return next_state, (Ignored("batch repeated"),)
+    _record_sequence(next_state, batch.writer, batch.sequence)
+    outcomes = [apply(record, next_state) for record in batch.records]
+    return next_state, tuple(chain.from_iterable(outcomes))
 
 
 @singledispatch
 def apply(record: Any, state: LedgerState) -> tuple[LedgerOutcome, ...]:
-    """Apply one record; those of other streams have no effect."""
+    """Apply one record; records that belong to other streams have no effect."""
     return (Ignored(f"{type(record).__name__} changes no ledger"),)
 
 
@@ -109,11 +110,11 @@
 def _(record: GrantRequest, state: LedgerState) -> tuple[LedgerOutcome, ...]:
     budget, holder, grant, amount = record
     entry = state.budgets.get(budget)
-    spare = available(entry) if entry else 0
-    reason = _refusal(state, record, spare)
+    available_amount = available(entry) if entry else 0
+    reason = _refusal_reason(state, record, available_amount)
     if entry is None or reason is not None:
         refused = reason or RefusalReason.INSUFFICIENT
-        return (GrantRefused(budget, grant, holder, refused, spare, amount),)
+        return (GrantRefused(budget, grant, holder, refused, available_amount, amount),)
     holder_entry(state, holder)
     entry["granted"] += amount
     state.grants[grant] = GrantEntry(
@@ -141,7 +142,7 @@
         return (Ignored("returned grant is not the holder's"),)
     if record.amount <= 0:
         return (Ignored("return of no tokens"),)
-    amount = take_remainder(state, record.grant, record.amount)
+    amount = reduce_grant(state, record.grant, record.amount)
     pay_shortfall(state.budgets[record.budget])
     return (GrantReduced(record.budget, record.grant, record.holder, amount),)
 
@@ -149,12 +150,12 @@
 @apply.register
 def _(record: HoldResolve, state: LedgerState) -> tuple[LedgerOutcome, ...]:
     entry = state.budgets.get(record.budget)
-    doubt = in_doubt(entry, record.subject) if entry else 0
-    if entry is None or not doubt:
+    uncertain = uncertain_amount(entry, record.subject) if entry else 0
+    if entry is None or not uncertain:
         return (Ignored("nothing is held for the subject"),)
-    if not 0 <= record.charge <= doubt:
+    if not 0 <= record.charge <= uncertain:
         return (Ignored("charge is not within the hold"),)
-    _, freed = end_hold(entry, record.subject, record.charge)
+    _, freed = resolve_hold(entry, record.subject, record.charge)
     pay_shortfall(entry)
     return (HoldResolved(record.budget, record.subject, record.charge, freed),)
 
@@ -179,8 +180,8 @@
     return apply_transfer(state, record)
 
 
-def _refusal(
-    state: LedgerState, record: GrantRequest, spare: int
+def _refusal_reason(
+    state: LedgerState, record: GrantRequest, available_amount: int
 ) -> RefusalReason | None:
     if is_closed(state, record.holder):
         return RefusalReason.HOLDER_CLOSED
@@ -188,11 +189,14 @@
         return RefusalReason.GRANT_REPEATED
     if record.amount <= 0:
         return RefusalReason.BAD_AMOUNT
-    return RefusalReason.INSUFFICIENT if record.amount > spare else None
+    return RefusalReason.INSUFFICIENT if record.amount > available_amount else None
 
 
-def _note_writer(state: LedgerState, writer: Incarnation, sequence: int) -> None:
-    """Remember a writer's last sequence, the latest writers last."""
+def _record_sequence(state: LedgerState, writer: Incarnation, sequence: int) -> None:
+    """Store the last sequence of a writer, with the most recent writer last.
+
+    Above ``WRITER_WINDOW`` the oldest writer that is not a holder is evicted.
+    """
     sequences = state.sequences
     sequences.pop(writer, None)
     sequences[writer] = sequence
--- a/libs/ledger/src/clementinebend_ledger/settling.py
+++ b/libs/ledger/src/clementinebend_ledger/settling.py
@@ -1,15 +1,17 @@
-"""How one bill changes the accounts.
-
-A bill is paid from its grant, else from the hold that a released grant left,
-else from the budget's available amount. What none of these covers is a
-shortfall: it was spent, so it is billed before any new grant, but never above
-the budget; of a held bill it is held instead, as nobody knows that it was.
-After a clean release no witness has a bill left, so an unfunded bill means a
-late transfer record (see ``early_bills``) or a broken invariant; to drop it
-would be a request billed zero times.
-
-A held bill says that a run's cost is not known. A bill with the cost, of that
-run or of another run of the key, is evidence: it ends the hold and counts.
+"""How a bill changes the accounts of its budget.
+
+A bill is paid from its grant, else from the hold that a released grant left behind,
+else from the budget's available amount. Whatever none of these covers becomes a
+shortfall. A shortfall was spent, so it is billed before any new grant is accepted,
+but never beyond the budget. The shortfall of a held bill is held instead, since it
+is not known to have been spent.
+
+After a clean release no witness has bills left to log, so an unfunded bill means a
+late transfer record (see ``early_bills``) or a violated invariant. It is not dropped,
+since its request would then never be billed.
+
+A held bill is one of a run with unknown cost. A later bill with the cost, of the same
+run or of another run of the key, ends the hold and is billed.
 """
 
 from clementinebend_ledger.outcomes import (
@@ -30,12 +32,12 @@
     add_unheld,
     available,
     budget_entry,
-    end_hold,
-    in_doubt,
     pay_shortfall,
-    take_hold,
-    take_remainder,
+    reduce_grant,
+    reduce_hold,
+    resolve_hold,
     trim_oldest,
+    uncertain_amount,
 )
 from clementinebend_records.identifiers import GrantId
 from clementinebend_records.records import Bill
@@ -44,11 +46,11 @@
 def settle_bill(
     state: LedgerState, budget: str, bill: Bill
 ) -> tuple[LedgerOutcome, ...]:
-    """Bill a request key once."""
+    """Bill a request key, unless it was billed before."""
     if bill.amount < 0:
         return (Ignored("negative amount"),)
     entry = state.budgets.get(budget)
-    if entry is not None and in_doubt(entry, bill.key) and not bill.held:
+    if entry is not None and uncertain_amount(entry, bill.key) and not bill.held:
         return _replace_hold(state, budget, bill)
     billed_run = state.billed_runs.get(bill.key)
     if billed_run is not None:
@@ -70,10 +72,10 @@
 def _replace_hold(
     state: LedgerState, budget: str, bill: Bill
 ) -> tuple[LedgerOutcome, ...]:
-    """End the hold of a key: by the held run's own cost, or by another run's."""
+    """End the hold of a key with the cost of the held run or of another run."""
     entry = state.budgets[budget]
     same_run = state.billed_runs.get(bill.key) == bill.run
-    paid, freed = end_hold(entry, bill.key, bill.amount if same_run else 0)
+    paid, freed = resolve_hold(entry, bill.key, bill.amount if same_run else 0)
     billed = (Billed(bill),) if same_run else _bill_once(state, budget, bill)
     pay_shortfall(entry)
     return HoldResolved(budget, bill.key, paid, freed), *billed
@@ -83,31 +85,31 @@
     state: LedgerState, budget: str, bill: Bill
 ) -> tuple[LedgerOutcome, ...]:
     entry = budget_entry(state, budget)
-    paid = take_remainder(state, bill.grant, bill.amount)
+    paid = reduce_grant(state, bill.grant, bill.amount)
     _charge(entry, bill, paid)
     if paid == bill.amount:
         return (Billed(bill),)
     excess = bill.amount - paid
-    _wait_for_tokens(entry, bill, excess)
+    _add_shortfall(entry, bill, excess)
     pay_shortfall(entry)
     return Billed(bill), OverrunDetected(budget, bill.grant, excess)
 
 
 def _bill_without_grant(state: LedgerState, budget: str, bill: Bill) -> LedgerOutcome:
     entry = budget_entry(state, budget)
-    from_hold = take_hold(entry, bill.grant, bill.amount)
+    from_hold = reduce_hold(entry, bill.grant, bill.amount)
     _charge(entry, bill, from_hold)
     unfunded = bill.amount - from_hold
     if not unfunded:
         return Billed(bill)
-    _note_early(state, bill.grant, unfunded)
+    _add_early_bill(state, bill.grant, unfunded)
     covered = min(available(entry), unfunded)
     _charge(entry, bill, covered)
-    _wait_for_tokens(entry, bill, unfunded - covered)
+    _add_shortfall(entry, bill, unfunded - covered)
     return BillUnfunded(bill, unfunded, entry["shortfall"])
 
 
-def _note_early(state: LedgerState, grant: GrantId, amount: int) -> None:
+def _add_early_bill(state: LedgerState, grant: GrantId, amount: int) -> None:
     state.early_bills[grant] = state.early_bills.get(grant, 0) + amount
     trim_oldest(state.early_bills, EARLY_WINDOW)
 
@@ -119,7 +121,7 @@
         entry["billed"] += amount
 
 
-def _wait_for_tokens(entry: BudgetEntry, bill: Bill, amount: int) -> None:
+def _add_shortfall(entry: BudgetEntry, bill: Bill, amount: int) -> None:
     if bill.held:
         add_unheld(entry, bill.key, amount)
     else:
--- a/libs/ledger/src/clementinebend_ledger/transfers.py
+++ b/libs/ledger/src/clementinebend_ledger/transfers.py
@@ -1,8 +1,8 @@
-"""Parts of a grant that one holder passed to another directly.
+"""Replay of transfers that one holder sent directly to another.
 
-The sender subtracts before it sends, so a part exists once at most. Either
-side logs it, in any order, and the first record counts. Source: rights
-transfer of bounded counters (Balegas et al. 2015).
+The sender deducts the amount before it sends, so transferred tokens exist at most
+once. Both sides may log the transfer in any order; the first record counts. Source:
+rights transfer of bounded counters (Balegas et al. 2015).
 """
 
 from clementinebend_ledger.closing import peer_status
@@ -18,21 +18,24 @@
     WitnessStatus,
     add_hold,
     pay_shortfall,
-    take_remainder,
+    reduce_grant,
 )
 from clementinebend_records.identifiers import GrantId
 from clementinebend_records.records import Transfer
 
 
 def apply_transfer(state: LedgerState, record: Transfer) -> tuple[LedgerOutcome, ...]:
-    """Make a part of the sender's grant a grant of the receiver."""
-    problem = _problem(state, record)
-    if problem is not None:
-        return (Ignored(problem),)
+    """Move an amount from the sender's grant to a new grant of the receiver.
+
+    Bills that were logged ahead of the record reduce the new grant.
+    """
+    reason = _rejection_reason(state, record)
+    if reason is not None:
+        return (Ignored(reason),)
     state.grants[record.grant]["transfers"].append(record.transfer)
-    amount = take_remainder(state, record.grant, record.amount)
+    amount = reduce_grant(state, record.grant, record.amount)
     billed_early = min(state.early_bills.pop(record.transfer, 0), amount)
-    _place(state, record, amount - billed_early)
+    _credit_receiver(state, record, amount - billed_early)
     pay_shortfall(state.budgets[record.budget])
     applied = TransferApplied(*record[:-1], amount)
     excess = record.amount - amount
@@ -41,7 +44,7 @@
     return applied, OverrunDetected(record.budget, record.grant, excess)
 
 
-def _problem(state: LedgerState, record: Transfer) -> str | None:
+def _rejection_reason(state: LedgerState, record: Transfer) -> str | None:
     grant = state.grants.get(record.grant)
     if grant is None or grant["budget"] != record.budget:
         return "transferred grant is not open"
@@ -57,8 +60,12 @@
     return None
 
 
-def _place(state: LedgerState, record: Transfer, amount: int) -> None:
-    """Give the part to its receiver, or to whatever its release left."""
+def _credit_receiver(state: LedgerState, record: Transfer, amount: int) -> None:
+    """Open a grant for the receiver.
+
+    After the receiver's release the amount is held if its release held tokens, and
+    stays available to the budget otherwise.
+    """
     budget = state.budgets[record.budget]
     if record.receiver not in state.released:
         _open_grant(state, record.transfer, record, amount)
--- a/tests/unit/ledger/fuzz_entry.py
+++ b/tests/unit/ledger/fuzz_entry.py
@@ -1,22 +1,22 @@
-"""A fake entry: a holder, a reader and a writer of the ledger stream."""
+"""Fake entry for fuzzing: a holder with a reader and a writer of the ledger stream."""
 
 from collections import deque
 from collections.abc import Iterable
 from itertools import groupby
 
 from clementinebend_ledger.holder import (
-    budget_seen,
     cancel,
     close_cleanly,
     empty_holder,
-    give,
     has_witness,
+    observe_budget,
     on_outcome,
     plan,
-    receive,
+    receive_transfer,
     refuse_sender,
     reserve,
     resume,
+    send_transfer,
     settle,
     widen,
 )
@@ -49,7 +49,10 @@
 
 
 class FakeEntry:
-    """One incarnation of an entry."""
+    """One incarnation of an entry.
+
+    A paused entry does nothing, one that is ``cut`` cannot reach the log.
+    """
 
     def __init__(self, incarnation: Incarnation, log: FakeLog) -> None:
         self.incarnation = incarnation
@@ -60,15 +63,15 @@
         self.alive = True
         self.paused = False
         self.cut = False
-        self.left = False
+        self.is_stopped = False
         self.sequence = 0
         self.queue: deque[Batch] = deque()
-        self.flights: dict[RunId, Start] = {}
-        self.kept: dict[RunId, Receipt] = {}
+        self.in_flight: dict[RunId, Start] = {}
+        self.kept_receipts: dict[RunId, Receipt] = {}
         self.now = 0.0
 
-    def post(self, records: Iterable[Record]) -> None:
-        """Queue one batch; it is appended until it is read back."""
+    def enqueue(self, records: Iterable[Record]) -> None:
+        """Queue a batch, which is appended repeatedly until it is read back."""
         rows = tuple(records)
         if rows:
             self.sequence += 1
@@ -79,12 +82,12 @@
         if not self.queue or self.log.outage or self.cut:
             return
         if delayed:
-            self.log.on_their_way.append(self.queue[0])
+            self.log.delayed_appends.append(self.queue[0])
         else:
             self.log.append(self.queue[0])
 
     def read(self, limit: int = 1000) -> None:
-        """Read the stream on, from a checkpoint where it was trimmed."""
+        """Read further batches, from a checkpoint if the log trimmed the next one."""
         if self.log.outage or self.cut:
             return
         if self.position < self.log.oldest:
@@ -96,20 +99,20 @@
         self._drop_read_back()
         for budget in self.holder.budgets:
             summary = budget_summary(self.state, budget)
-            self.holder = budget_seen(self.holder, budget, summary)
+            self.holder = observe_budget(self.holder, budget, summary)
 
     def plan(self, log_delay: float) -> None:
-        """Queue what the holder plans, time moving on."""
+        """Queue the records that the holder plans, one second later."""
         self.now += 1.0
         self.holder, rows = plan(self.holder, self.now, log_delay)
-        self.post(record for budget in rows.values() for record in budget)
+        self.enqueue(record for budget in rows.values() for record in budget)
 
     def widen(
         self, sidecars: tuple[Incarnation, ...], peers: tuple[Incarnation, ...]
     ) -> None:
-        """Queue new witnesses."""
+        """Queue the scope records of new witnesses."""
         self.holder, scopes = widen(self.holder, sidecars, peers)
-        self.post(scopes)
+        self.enqueue(scopes)
 
     def submit(
         self,
@@ -119,74 +122,78 @@
         amount: int,
         sidecar: Incarnation,
     ) -> Start | None:
-        """Reserve for a run and make its ticket, if its witness is in force."""
+        """Reserve for a run and create its ticket, if its sidecar is a witness."""
         if not has_witness(self.holder, "", sidecar):
             return None
         self.holder, outcome = reserve(self.holder, budget, run, amount, self.now)
         if not isinstance(outcome, Reserved):
             return None
         ticket = Ticket(budget, outcome.grant, self.incarnation, sidecar, amount)
-        self.flights[run] = Start(run, key, ticket)
-        return self.flights[run]
+        self.in_flight[run] = Start(run, key, ticket)
+        return self.in_flight[run]
 
     def ended(self, run: RunId, amount: int, held: bool = False) -> None:
-        """Settle a run with its receipt, or hold all of it without one."""
-        start = self.flights.pop(run)
+        """Settle a run at its cost; ``held`` if the cost is unknown."""
+        start = self.in_flight.pop(run)
         self.holder, _ = settle(self.holder, run, start.key, amount, held)
 
     def refused(self, run: RunId) -> None:
-        """Take back the reservation of a run that is proved not run."""
-        del self.flights[run]
+        """Free the reservation of a run that is known not to have executed."""
+        del self.in_flight[run]
         self.holder = cancel(self.holder, run)
 
     def give_up_waiting(self) -> None:
-        """Forget the runs that found no grant."""
+        """Cancel the runs that wait for a grant."""
         for run in list(self.holder.waiting):
             self.holder = cancel(self.holder, run)
 
-    def give(
+    def send_transfer(
         self, budget: str, transfer: GrantId, receiver: Incarnation, amount: int
     ) -> TransferGive:
-        """Pass a part of a grant to a peer."""
-        self.holder, message = give(self.holder, budget, transfer, receiver, amount)
+        """Transfer tokens of a grant to a peer."""
+        self.holder, message = send_transfer(
+            self.holder, budget, transfer, receiver, amount
+        )
         return message
 
-    def receive(self, message: TransferGive) -> None:
-        """Take a part from a peer."""
-        self.holder = receive(self.holder, message)
+    def receive_transfer(self, message: TransferGive) -> None:
+        """Receive a transfer from a peer."""
+        self.holder = receive_transfer(self.holder, message)
 
-    def leave(self) -> None:
-        """Stop as planned, once nothing is in flight."""
+    def stop_cleanly(self) -> None:
+        """Close cleanly, which requires that no run is in flight."""
         self.holder, records = close_cleanly(self.holder)
-        self.post(records)
-        self.left = True
+        self.enqueue(records)
+        self.is_stopped = True
 
     def close(self, victim: Incarnation) -> None:
-        """Believe a holder dead."""
-        self.post([HolderClose(victim, self.incarnation)])
+        """Queue the close of a holder that is presumed dead."""
+        self.enqueue([HolderClose(victim, self.incarnation)])
 
-    def notice_sidecar(self, victim: Incarnation, sidecar: FakeSidecar) -> None:
-        """Have a sidecar refuse a closed holder and log what it knows."""
+    def request_close_ack(self, victim: Incarnation, sidecar: FakeSidecar) -> None:
+        """Have a sidecar reject a closed holder, and queue its receipts and answer."""
         if not sidecar.alive:
             ack = CloseAck(victim, sidecar.incarnation, lost=True)
-            self.post([ack])
+            self.enqueue([ack])
             return
         receipts = sidecar.close(victim)
         if receipts is not None:
             ack = CloseAck(victim, sidecar.incarnation)
-            self.post([*settles_of(receipts), ack])
+            self.enqueue([*settle_records(receipts), ack])
 
-    def notice(self, victim: Incarnation) -> None:
-        """Acknowledge a closed holder as its peer, in one batch."""
+    def acknowledge_close(self, victim: Incarnation) -> None:
+        """Queue the acknowledgement of a closed holder as its peer, in one batch."""
         self.holder, transfers = refuse_sender(self.holder, victim)
-        receipts = [item for item in self.kept.values() if item.holder == victim]
+        receipts = [
+            item for item in self.kept_receipts.values() if item.holder == victim
+        ]
         ack = CloseAck(victim, self.incarnation)
-        self.post([*transfers, *settles_of(receipts), ack])
+        self.enqueue([*transfers, *settle_records(receipts), ack])
 
     def checkpoint(self) -> None:
-        """Queue a checkpoint of all that was read."""
+        """Queue a checkpoint of the state that was read."""
         if self.state.offset >= 0:
-            self.post([ledger_checkpoint(self.state, "ledger-0")])
+            self.enqueue([ledger_checkpoint(self.state, "ledger-0")])
 
     def _restore(self) -> None:
         checkpoint = self.log.checkpoint()
@@ -200,7 +207,7 @@
         for outcome in outcomes:
             self.holder = on_outcome(self.holder, outcome, self.now)
             if isinstance(outcome, Billed | BillRepeated):
-                self.kept.pop(outcome.bill.run, None)
+                self.kept_receipts.pop(outcome.bill.run, None)
 
     def _drop_read_back(self) -> None:
         last = self.state.sequences.get(self.incarnation, 0)
@@ -208,15 +215,15 @@
             self.queue.popleft()
 
 
-def settles_of(receipts: Iterable[Receipt]) -> list[Settle]:
-    """Return the records that bill receipts, one for each budget."""
+def settle_records(receipts: Iterable[Receipt]) -> list[Settle]:
+    """Return the settle records that bill receipts, one per budget."""
     ordered = sorted(receipts, key=lambda receipt: receipt.budget)
     groups = groupby(ordered, key=lambda receipt: receipt.budget)
     return [
-        Settle(budget, tuple(_bill_of(receipt) for receipt in group))
+        Settle(budget, tuple(_bill_from_receipt(receipt) for receipt in group))
         for budget, group in groups
     ]
 
 
-def _bill_of(receipt: Receipt) -> Bill:
+def _bill_from_receipt(receipt: Receipt) -> Bill:
     return Bill(receipt.key, receipt.run, receipt.grant, receipt.amount)
--- a/tests/unit/ledger/fuzz_fleet.py
+++ b/tests/unit/ledger/fuzz_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of the ledger fuzzing: entries, sidecars, one log, the network."""
+"""Fake fleet for fuzzing the ledger: entries, sidecars, one log and the network."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 Item = TypeVar("Item")
 
-counted: Counter[str] = Counter()
+statistics: Counter[str] = Counter()
 
 
 def pick(items: Sequence[Item], index: int) -> Item:
@@ -23,7 +23,7 @@
 
 
 class Fleet:
-    """The processes around one ledger stream, and what they do together."""
+    """The processes around one ledger stream, and steps of several of them."""
 
     def __init__(self) -> None:
         self.oracle = Oracle()
@@ -31,12 +31,12 @@
         self.network = Network([], [])
         self.entries: list[FakeEntry] = []
         self.sidecars: list[FakeSidecar] = []
-        self.names = 0
-        self.operations = 0
+        self.name_count = 0
+        self.operator_batches = 0
 
     def name(self, kind: str) -> str:
-        self.names += 1
-        return f"{kind}{self.names}"
+        self.name_count += 1
+        return f"{kind}{self.name_count}"
 
     def new_entry(self) -> None:
         incarnation = Incarnation(self.name("entry#"))
@@ -48,18 +48,18 @@
         incarnation = Incarnation(self.name("sidecar#"))
         self.sidecars.append(FakeSidecar(incarnation, self.oracle))
 
-    def operate(self, record: TopUp | HoldResolve) -> None:
-        self.operations += 1
+    def append_by_operator(self, record: TopUp | HoldResolve) -> None:
+        self.operator_batches += 1
         writer = Incarnation("operator#1")
-        self.log.append(Batch(writer, self.operations, (record,)))
+        self.log.append(Batch(writer, self.operator_batches, (record,)))
 
-    def awake(self) -> list[FakeEntry]:
+    def active_entries(self) -> list[FakeEntry]:
         return [entry for entry in self.entries if entry.alive and not entry.paused]
 
-    def serving(self) -> list[FakeEntry]:
-        return [entry for entry in self.awake() if not entry.left]
+    def serving_entries(self) -> list[FakeEntry]:
+        return [entry for entry in self.active_entries() if not entry.is_stopped]
 
-    def living(self) -> list[FakeSidecar]:
+    def live_sidecars(self) -> list[FakeSidecar]:
         return [sidecar for sidecar in self.sidecars if sidecar.alive]
 
     def sidecar(self, incarnation: Incarnation) -> FakeSidecar:
@@ -67,45 +67,47 @@
         return next(found)
 
     def tick(self, entry: FakeEntry) -> None:
-        """Let an entry widen, plan, write and read to the end."""
-        sidecars = tuple(sidecar.incarnation for sidecar in self.living())
+        """Have an entry add witnesses, plan, and write and read its whole queue."""
+        sidecars = tuple(sidecar.incarnation for sidecar in self.live_sidecars())
         alive = (other for other in self.entries if other.alive and other != entry)
         peers = tuple(other.incarnation for other in alive)
-        if not entry.left:
+        if not entry.is_stopped:
             entry.widen(sidecars, peers)
         entry.plan(0.5)
         for _ in range(len(entry.queue)):
             entry.write()
             entry.read()
 
-    def tick_only(self, entry: FakeEntry) -> None:
-        """Write and read without new witnesses or requests."""
+    def write_and_read(self, entry: FakeEntry) -> None:
+        """Write and read the queue of an entry, without new witnesses or requests."""
         entry.read()
         for _ in range(len(entry.queue)):
             entry.write()
             entry.read()
 
     def send_start(self, entry: FakeEntry, start: Start) -> None:
-        """Deliver a start and its refusal to an entry that waits for it."""
+        """Deliver a start to its sidecar, and a refusal to the waiting entry."""
         sidecar = self.sidecar(start.ticket.sidecar)
         if sidecar.alive and not sidecar.start(start):
             entry.refused(start.run)
             self.oracle.refused.add(start.run)
 
     def send_end(self, entry: FakeEntry, run: RunId) -> None:
-        """Deliver a receipt, or what its sidecar's death leaves."""
-        ticket = entry.flights[run].ticket
+        """Deliver the receipt of a run; if its sidecar died, its cost is unknown."""
+        ticket = entry.in_flight[run].ticket
         sidecar = self.sidecar(ticket.sidecar)
         if run in sidecar.finished and sidecar.alive:
             entry.ended(run, sidecar.finished[run].amount)
         elif not sidecar.alive:
             entry.ended(run, ticket.amount, held=True)
 
-    def flights(self) -> list[tuple[FakeEntry, RunId]]:
-        return [(entry, run) for entry in self.awake() for run in entry.flights]
+    def in_flight(self) -> list[tuple[FakeEntry, RunId]]:
+        return [
+            (entry, run) for entry in self.active_entries() for run in entry.in_flight
+        ]
 
     def closed_and_witness(self, entry: FakeEntry) -> list[tuple[Incarnation, str]]:
-        """Return open witnesses of the closed holders that an entry knows."""
+        """Return pairs of a closed holder and an open witness, as an entry has read."""
         holders = entry.state.holders.items()
         closed = [(name, item) for name, item in holders if item["closed"]]
         return [
@@ -116,10 +118,10 @@
         ]
 
     def notify(self, entry: FakeEntry, holder: Incarnation, witness: str) -> None:
-        """Send a close notice and have the answer logged."""
+        """Send a close notice to a witness and queue its answer."""
         for sidecar in self.sidecars:
             if sidecar.incarnation == witness:
-                entry.notice_sidecar(holder, sidecar)
-        for peer in self.awake():
+                entry.request_close_ack(holder, sidecar)
+        for peer in self.active_entries():
             if peer.incarnation == witness:
-                peer.notice(holder)
+                peer.acknowledge_close(holder)
--- a/tests/unit/ledger/fuzz_traffic.py
+++ b/tests/unit/ledger/fuzz_traffic.py
@@ -1,14 +1,14 @@
-"""What the fuzzed fleet does: traffic, parts passed on, and a quiet end."""
+"""Steps of the fuzzed fleet: requests, transfers between entries, and shutdown."""
 
 from clementinebend_records.identifiers import GrantId, RequestKey, RunId
 from clementinebend_records.records import HoldResolve
 from tests.unit.ledger.fuzz_entry import FakeEntry
-from tests.unit.ledger.fuzz_fleet import Fleet, counted, pick
+from tests.unit.ledger.fuzz_fleet import Fleet, pick, statistics
 from tests.unit.ledger.fuzz_oracle import Request
 
 
-class BusyFleet(Fleet):
-    """A fleet with traffic."""
+class TrafficFleet(Fleet):
+    """A fleet that serves requests and transfers tokens."""
 
     def submit(
         self, at: int, to: int, budget: str, cost: int, slack: int, lost: bool
@@ -27,18 +27,18 @@
         finished: int,
         ended: int,
     ) -> None:
-        """Serve some requests at one entry, and leave some unfinished."""
-        entry = pick(self.serving(), at)
+        """Serve requests at one entry, of which only some are finished and settled."""
+        entry = pick(self.serving_entries(), at)
         for index in range(count):
             self.submit(at, to + index, budget, cost, index, False)
-        for run in [*entry.flights][:finished]:
-            sidecar = self.sidecar(entry.flights[run].ticket.sidecar)
+        for run in [*entry.in_flight][:finished]:
+            sidecar = self.sidecar(entry.in_flight[run].ticket.sidecar)
             if run in sidecar.running and sidecar.alive:
                 sidecar.finish(run)
-        for run in [*entry.flights][:ended]:
+        for run in [*entry.in_flight][:ended]:
             self.send_end(entry, run)
 
-    def give_part(
+    def transfer_tokens(
         self,
         sender: FakeEntry,
         budget: str,
@@ -46,23 +46,23 @@
         amount: int,
         arrives: bool,
     ) -> bool:
-        """Pass a part of a grant; say whether the sender had one."""
+        """Transfer tokens of a grant; return whether the sender had any to transfer."""
         transfer = GrantId(self.name("part"))
-        message = sender.give(budget, transfer, receiver.incarnation, amount)
+        message = sender.send_transfer(budget, transfer, receiver.incarnation, amount)
         if not message.amount:
             return False
-        counted["transferred"] += 1
-        self.network.gives.append(message)
-        self.oracle.parts[transfer] = message.grant
+        statistics["transferred"] += 1
+        self.network.transfers.append(message)
+        self.oracle.parent_grants[transfer] = message.grant
         if arrives:
-            receiver.receive(message)
+            receiver.receive_transfer(message)
         return True
 
     def start_run(
         self, key: RequestKey, at: int, to: int, slack: int, lost: bool
     ) -> None:
-        entry = pick(self.serving(), at)
-        sidecar = pick(self.living(), to).incarnation
+        entry = pick(self.serving_entries(), at)
+        sidecar = pick(self.live_sidecars(), to).incarnation
         budget, cost = self.oracle.requests[key]
         run = RunId(self.name("run"))
         start = entry.submit(run, key, budget, cost + slack, sidecar)
@@ -70,77 +70,79 @@
             self.tick(entry)
             start = entry.submit(run, key, budget, cost + slack, sidecar)
         if start is None:
-            counted["no grant"] += 1
+            statistics["no grant"] += 1
             return
-        counted["reserved"] += 1
+        statistics["reserved"] += 1
         self.network.starts.append(start)
         if not lost:
             self.send_start(entry, start)
 
     def serve_at(self, entry: FakeEntry, to: int, budget: str) -> None:
         """Serve at one entry, whether or not it has read its own close."""
-        if entry in self.serving() and self.living():
-            at = self.serving().index(entry)
+        if entry in self.serving_entries() and self.live_sidecars():
+            at = self.serving_entries().index(entry)
             self.serve_requests(at, to, budget, 3, 4, 3, 2)
 
     def finish_runs(self, entry: FakeEntry) -> None:
-        """End the runs of one holder, so that its sidecars can acknowledge."""
-        for sidecar in self.living():
+        """Finish the runs of one holder, so that its sidecars acknowledge its close."""
+        for sidecar in self.live_sidecars():
             for run, start in list(sidecar.running.items()):
                 if start.ticket.holder == entry.incarnation:
                     sidecar.finish(run)
 
-    def pass_on(self, sender: FakeEntry, fresh: bool, passing: bool = True) -> None:
-        """Pass a part from one entry, twice the message, and have it used.
+    def transfer_and_use(
+        self, sender: FakeEntry, fresh: bool, passing: bool = True
+    ) -> None:
+        """Transfer tokens from an entry, deliver the message twice and use the tokens.
 
-        A fresh receiver has no other grant, so it spends from the part.
+        A fresh receiver has no other grant, so its runs are paid from the transfer.
         """
-        if not passing or sender not in self.serving():
+        if not passing or sender not in self.serving_entries():
             return
         if fresh:
             self.new_entry()
             self.tick(sender)
-        found = [item for item in self.givers() if item[0] == sender]
+        found = [item for item in self.transfer_candidates() if item[0] == sender]
         if not found:
             return
         _, budget, receiver = found[-1]
-        if not self.give_part(sender, budget, receiver, 10, arrives=True):
+        if not self.transfer_tokens(sender, budget, receiver, 10, arrives=True):
             return
-        self.use_part(receiver, budget)
-        self.use_part(receiver, budget)
-        receiver.receive(self.network.gives[-1])
-        self.use_part(receiver, budget)
+        self.run_on_transfer(receiver, budget)
+        self.run_on_transfer(receiver, budget)
+        receiver.receive_transfer(self.network.transfers[-1])
+        self.run_on_transfer(receiver, budget)
 
-    def use_part(self, entry: FakeEntry, budget: str) -> None:
-        """Execute a run at an entry that does not read, write or learn of it."""
+    def run_on_transfer(self, entry: FakeEntry, budget: str) -> None:
+        """Execute a run of an entry that does not read, write or get the receipt."""
         key, run = RequestKey(self.name("key")), RunId(self.name("run"))
         self.oracle.requests[key] = Request(budget, 4)
-        sidecars = self.living()
-        if entry not in self.serving() or not sidecars:
+        sidecars = self.live_sidecars()
+        if entry not in self.serving_entries() or not sidecars:
             return
         start = entry.submit(run, key, budget, 4, sidecars[-1].incarnation)
         if start is not None:
-            counted["reserved"] += 1
+            statistics["reserved"] += 1
             self.send_start(entry, start)
         if run in sidecars[-1].running:
             sidecars[-1].finish(run)
 
-    def givers(self) -> list[tuple[FakeEntry, str, FakeEntry]]:
-        """Return entries with free tokens, of which budget, and a peer."""
+    def transfer_candidates(self) -> list[tuple[FakeEntry, str, FakeEntry]]:
+        """Return possible transfers as sender, budget and receiver."""
         return [
             (entry, budget, peer)
-            for entry in self.awake()
+            for entry in self.active_entries()
             for budget, use in entry.holder.budgets.items()
             if any(own["free"] > 0 for own in use["grants"].values())
-            for peer in self.awake()
+            for peer in self.active_entries()
             if peer.incarnation in entry.holder.witnesses.get("", {})
         ]
 
-    def heal(self) -> None:
+    def end_faults(self) -> None:
         self.log.outage = False
         for entry in self.entries:
             entry.cut = entry.paused = False
-        for batch in self.log.on_their_way:
+        for batch in self.log.delayed_appends:
             self.log.append(batch)
         for start in self.network.starts:
             sidecar = self.sidecar(start.ticket.sidecar)
@@ -148,23 +150,23 @@
                 sidecar.start(start)
 
     def end_runs(self) -> None:
-        for sidecar in self.living():
+        for sidecar in self.live_sidecars():
             for run in list(sidecar.running):
                 sidecar.finish(run)
-        for entry, run in self.flights():
-            self.send_start(entry, entry.flights[run])
-        for entry, run in self.flights():
+        for entry, run in self.in_flight():
+            self.send_start(entry, entry.in_flight[run])
+        for entry, run in self.in_flight():
             self.send_end(entry, run)
 
-    def settle_down(self) -> None:
-        for entry in self.awake():
+    def tick_all(self) -> None:
+        for entry in self.active_entries():
             self.tick(entry)
 
     def end_holds(self) -> None:
-        """Have an operator free all that is held."""
+        """Have an operator end all holds without a charge."""
         for budget, entry in self.oracle.state.budgets.items():
             for subject in [*entry["holds"], *entry["unheld"]]:
-                self.operate(HoldResolve(budget, subject, 0, "operator"))
+                self.append_by_operator(HoldResolve(budget, subject, 0, "operator"))
 
     def close_all(self) -> None:
         self.new_entry()
@@ -172,14 +174,14 @@
         closer.read()
         for entry in self.entries[:-1]:
             closer.close(entry.incarnation)
-        self.tick_only(closer)
+        self.write_and_read(closer)
         while known := self.closed_and_witness(closer):
             before = len(self.log.batches)
             for holder, witness in known:
                 self.notify(closer, holder, witness)
-            for entry in self.awake():
-                self.tick_only(entry)
+            for entry in self.active_entries():
+                self.write_and_read(entry)
             closer.read()
             assert len(self.log.batches) > before
-        closer.leave()
-        self.tick_only(closer)
+        closer.stop_cleanly()
+        self.write_and_read(closer)
--- a/tests/unit/ledger/test_replay.py
+++ b/tests/unit/ledger/test_replay.py
@@ -1,4 +1,4 @@
-"""Replay: top-ups, grants, bills, holds, duplicates and checkpoints."""
+"""Tests of ledger replay: top-ups, grants, bills, holds, repeats and checkpoints."""
 
 from typing import Any
 
@@ -44,7 +44,7 @@
     request,
     settle,
     top_up,
-    typed,
+    with_type_names,
 )
 
 
@@ -95,7 +95,9 @@
     script = Script(top_up(100), request(50))
     first, repeated = bill(20), bill(20, run="other")
     outcomes = script.add(settle(first, repeated))
-    assert typed(outcomes) == typed([Billed(first), BillRepeated(repeated, first.run)])
+    assert with_type_names(outcomes) == with_type_names(
+        [Billed(first), BillRepeated(repeated, first.run)]
+    )
     assert summary(script) == (100, 20, 0, 30, 50, 0)
 
 
@@ -127,11 +129,11 @@
     assert summary(script) == (100, 30, 0, 40, 30, 0)
 
 
-def test_return_gives_back_at_most_the_remainder() -> None:
+def test_return_is_at_most_the_remainder() -> None:
     script = Script(top_up(100), request(50))
     back = GrantReturn(TEAM, GrantId("g"), ALICE, 60)
     reduced = GrantReduced(TEAM, GrantId("g"), ALICE, 50)
-    assert typed(script.add(back)) == typed([reduced])
+    assert with_type_names(script.add(back)) == with_type_names([reduced])
     assert script.add(back) == (Ignored("returned grant is not open"),)
     script.add(request(10, "h"))
     other = GrantReturn(TEAM, GrantId("h"), BOB, 1)
@@ -179,7 +181,7 @@
     assert summary(script) == (105, 20, 0, 0, 85, 0)
 
 
-def test_what_was_spent_takes_tokens_before_what_may_have_been() -> None:
+def test_spent_shortfall_is_paid_before_unheld_amounts() -> None:
     script = Script(top_up(10), request(10))
     script.add(settle(bill(4, "l", "gone", held=True), bill(7, "m", "gone")))
     assert summary(script) == (10, 0, 0, 10, 0, 11)
@@ -191,7 +193,7 @@
 
 
 @pytest.mark.parametrize("run", ["run-l", "retry"])
-def test_proved_cost_replaces_a_held_bill_that_nothing_covered(run: str) -> None:
+def test_known_cost_replaces_an_uncovered_held_bill(run: str) -> None:
     script = Script(top_up(10), request(10), settle(bill(4, "l", "gone", held=True)))
     script.add(settle(bill(3, "l", "gone", run)), top_up(20, "second"))
     assert summary(script) == (30, 3, 0, 10, 17, 0)
@@ -240,7 +242,7 @@
     restored = restore_ledger(checkpoint)
     assert restored == script.state
     assert ledger_digest(restored) == checkpoint.digest == ledger_digest(script.state)
-    with pytest.raises(ValueError, match="another digest"):
+    with pytest.raises(ValueError, match="ledger-0 does not match its digest"):
         restore_ledger(checkpoint._replace(state=checkpoint.state + b"\0"))
 
 
