--- a/libs/bench/src/clementinebend_bench/experiments/choice.py
+++ b/libs/bench/src/clementinebend_bench/experiments/choice.py
@@ -11,9 +11,9 @@
 from clementinebend_bench.rows import Row
 from clementinebend_records.identifiers import new_incarnation
 from clementinebend_relay.admission import Admitted
-from clementinebend_relay.announcing import Directory
 from clementinebend_relay.budgets import Budgets
 from clementinebend_relay.cold_endpoints import ColdEndpoints
+from clementinebend_relay.discovery import Directory
 from clementinebend_relay.dispatch import Dispatcher
 from clementinebend_relay.endpoint_ends import EndpointEnds
 from clementinebend_relay.endpoint_state import EndpointState
--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -9,9 +9,9 @@
 
 from clementinebend_bench.models.mark_store import ModelLog, StoreModel
 from clementinebend_records.identifiers import Incarnation
-from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.budgets import LONGEST_WAIT, Budgets, Reservation
 from clementinebend_relay.cold_endpoints import ColdEndpoints
+from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.evacuations import Evacuations
 from clementinebend_relay.interfaces import Unusable
--- a/libs/relay/src/clementinebend_relay/cold_endpoints.py
+++ b/libs/relay/src/clementinebend_relay/cold_endpoints.py
@@ -9,8 +9,8 @@
 from math import inf
 
 from clementinebend_membership.rendezvous import rendezvous
-from clementinebend_relay.announcing import Directory
 from clementinebend_relay.decisions import log_decision
+from clementinebend_relay.discovery import Directory
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.metrics import cold_endpoints
 from clementinebend_relay.models import Endpoint, Service, boot_name
--- a/libs/relay/src/clementinebend_relay/announcing.py
+++ b/libs/relay/src/clementinebend_relay/discovery.py
@@ -16,7 +16,7 @@
 from clementinebend_relay.decisions import log_decision
 from clementinebend_transport.client_connection import Address
 
-ANNOUNCE_PAUSE = 0.5
+ANNOUNCE_RETRY_DELAY = 0.5
 """Seconds after a failed announcement."""
 
 
@@ -97,4 +97,4 @@
         outcome = await log.append(((name, record),), None)
         if not isinstance(outcome, StoreFailure):
             return
-        await sleep(ANNOUNCE_PAUSE)
+        await sleep(ANNOUNCE_RETRY_DELAY)
--- a/libs/relay/src/clementinebend_relay/evacuations.py
+++ b/libs/relay/src/clementinebend_relay/evacuations.py
@@ -11,8 +11,8 @@
 from typing import NamedTuple
 
 from clementinebend_platform_client.keyed_log import KeyedRecord
-from clementinebend_relay.announcing import Directory
 from clementinebend_relay.decisions import log_decision
+from clementinebend_relay.discovery import Directory
 from clementinebend_relay.interfaces import Records
 from clementinebend_relay.messages import EvacuationMessage, Message
 from clementinebend_relay.metrics import evacuated_zones
--- a/libs/relay/src/clementinebend_relay/gateway.py
+++ b/libs/relay/src/clementinebend_relay/gateway.py
@@ -23,8 +23,8 @@
 from logging import getLogger
 
 from clementinebend_platform_client.keyed_log import KeyedLog
-from clementinebend_relay.announcing import Announcement, announce
 from clementinebend_relay.datagrams import DatagramSocket, open_socket
+from clementinebend_relay.discovery import Announcement, announce
 from clementinebend_relay.messages import Message, QueueMessage
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_transport.client_connection import Address
@@ -126,9 +126,9 @@
     server = await start_server(gateway.accept, *address, limit=PIECE_BYTES)
     socket = await _open_desk(boot, address)
     logger.info("started", extra={"gateway": name})
-    announcing = create_task(announce(log, name, Announcement(boot, zone, *address)))
+    discovery = create_task(announce(log, name, Announcement(boot, zone, *address)))
     await stop.wait()
-    announcing.cancel()
+    discovery.cancel()
     server.close()
     await gateway.close()
     socket.close()
--- a/libs/relay/src/clementinebend_relay/homes.py
+++ b/libs/relay/src/clementinebend_relay/homes.py
@@ -11,8 +11,8 @@
 
 from clementinebend_membership.rendezvous import weighted_rendezvous
 from clementinebend_membership.suspicion import ANSWER_SECONDS, Suspicions
-from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.decisions import log_decision
+from clementinebend_relay.discovery import Announcement, Directory
 
 CANDIDATES = 6
 """How many entries of a partition's order may become its home: more than are lost at
--- a/libs/relay/src/clementinebend_relay/leaving_news.py
+++ b/libs/relay/src/clementinebend_relay/leaving_news.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Iterable
 
-from clementinebend_relay.announcing import Directory
+from clementinebend_relay.discovery import Directory
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.messages import EndpointLeavingMessage, Message
--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -9,8 +9,8 @@
 from clementinebend_ledger.mark_transfers import TransferBook
 from clementinebend_ledger.mark_witness import NO_EPOCH
 from clementinebend_records.identifiers import Incarnation, name_of
-from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.budgets import Budgets
+from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.homes import WATCH_PAUSE, Homes
 from clementinebend_relay.messages import (
     AskMessage,
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -8,12 +8,12 @@
 from clementinebend_membership.rendezvous import rendezvous
 from clementinebend_platform_client.store_paths import Probe, StorePaths
 from clementinebend_platform_client.supervision import stop_process, watch
-from clementinebend_relay.announcing import Announcement, Directory, announce
 from clementinebend_relay.attempts import Attempts
 from clementinebend_relay.budgets import Budgets
 from clementinebend_relay.cold_endpoints import ColdEndpoints
 from clementinebend_relay.configuration import ConfigurationTable
 from clementinebend_relay.datagrams import DatagramSocket, open_socket
+from clementinebend_relay.discovery import Announcement, Directory, announce
 from clementinebend_relay.dispatch import Dispatcher
 from clementinebend_relay.endpoint_ends import EndpointEnds
 from clementinebend_relay.endpoints import EndpointTable
--- a/libs/relay/src/clementinebend_relay/queue_probes.py
+++ b/libs/relay/src/clementinebend_relay/queue_probes.py
@@ -7,8 +7,8 @@
 
 from clementinebend_membership.rendezvous import rendezvous
 from clementinebend_membership.suspicion import Suspicions
-from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.decisions import log_decision
+from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.messages import (
     EndedMessage,
     Message,
--- a/tests/functional/test_large_configuration.py
+++ b/tests/functional/test_large_configuration.py
@@ -19,7 +19,7 @@
 from msgspec.json import encode as encode_json
 from msgspec.msgpack import encode
 
-from clementinebend_relay.announcing import Announcement
+from clementinebend_relay.discovery import Announcement
 from clementinebend_transport.client_connection import Address
 from tests.lib.platform_fleet import ROUTES, Fleet, route
 from tests.lib.silent_address import silent_address
--- a/tests/unit/relay/cold_world.py
+++ b/tests/unit/relay/cold_world.py
@@ -6,8 +6,8 @@
 from typing import NamedTuple
 
 from clementinebend_platform.records import PlatformRecords
-from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.cold_endpoints import ColdEndpoints
+from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.messages import Message, QueueMessage, ReportMessage
--- a/tests/unit/relay/mark_world.py
+++ b/tests/unit/relay/mark_world.py
@@ -19,8 +19,8 @@
     StoreFailure,
 )
 from clementinebend_records.identifiers import Incarnation, name_of, new_incarnation
-from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.budgets import Budgets, boot_of
+from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.messages import (
     AttestationMessage,
     FenceMessage,
--- a/tests/unit/relay/test_cold_endpoints.py
+++ b/tests/unit/relay/test_cold_endpoints.py
@@ -3,8 +3,8 @@
 import pytest
 
 from clementinebend_bench.models.virtual_loop import run_virtually
-from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.cold_endpoints import LONGEST_COLD_SECONDS, ColdEndpoints
+from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.models import Endpoint
 from clementinebend_transport.client_connection import Address
--- a/tests/unit/relay/test_endpoints.py
+++ b/tests/unit/relay/test_endpoints.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 
 from clementinebend_platform_client.keyed_log import KeyedRecord
-from clementinebend_relay.announcing import Directory
 from clementinebend_relay.cold_endpoints import ColdEndpoints
+from clementinebend_relay.discovery import Directory
 from clementinebend_relay.endpoint_state import (
     LEAVING_SECONDS,
     LONGEST_PAUSE,
--- a/tests/unit/relay/test_evacuations.py
+++ b/tests/unit/relay/test_evacuations.py
@@ -10,7 +10,7 @@
 from clementinebend_bench.models.virtual_loop import run_virtually
 from clementinebend_platform.records import PlatformRecords
 from clementinebend_platform_client.keyed_log import KeyedRecord
-from clementinebend_relay.announcing import Announcement, Directory
+from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.evacuations import MAX_KNOWN_ZONES, Evacuations
 from clementinebend_relay.messages import EvacuationMessage, Message
 from clementinebend_transport.client_connection import Address
--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -9,8 +9,8 @@
 from clementinebend_ledger.mark_transfers import Transfer
 from clementinebend_membership.suspicion import ANSWER_SECONDS, MOST_UNANSWERED
 from clementinebend_records.identifiers import new_incarnation
-from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.budgets import Budgets
+from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.homes import CANDIDATES, WATCH_PAUSE, WATCHERS
 from clementinebend_relay.messages import (
     AskMessage,
--- a/tests/unit/relay/test_questions.py
+++ b/tests/unit/relay/test_questions.py
@@ -6,8 +6,8 @@
 
 from clementinebend_ledger.mark_gifts import Wish
 from clementinebend_records.identifiers import new_incarnation
-from clementinebend_relay.announcing import Directory
 from clementinebend_relay.budgets import Budgets
+from clementinebend_relay.discovery import Directory
 from clementinebend_relay.mark_keeper import GUEST_HURRY
 from clementinebend_relay.mark_view import Short
 from clementinebend_relay.models import Team
--- a/tests/unit/relay/test_queue_probes.py
+++ b/tests/unit/relay/test_queue_probes.py
@@ -7,7 +7,7 @@
 
 from clementinebend_bench.models.virtual_loop import run_virtually
 from clementinebend_membership.suspicion import MOST_UNANSWERED
-from clementinebend_relay.announcing import Announcement, Directory
+from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.messages import Message, QueueMessage, ReportMessage
 from clementinebend_relay.models import Endpoint
 from clementinebend_relay.queue_desk import QUEUES_KEPT, QueueDesk
