--- a/libs/relay/src/clementinebend_relay/__init__.py
+++ b/libs/relay/src/clementinebend_relay/__init__.py
@@ -1,1 +1,1 @@
-"""The direct path of a request: admission, dispatch, relay, settlement."""
+"""Relay of requests to endpoints: admission, dispatch, streaming, settlement."""
--- a/libs/relay/src/clementinebend_relay/discovery.py
+++ b/libs/relay/src/clementinebend_relay/discovery.py
@@ -1,4 +1,4 @@
-"""How processes find one another: each announces itself in the store."""
+"""Discovery of other processes: each process announces itself in the store."""
 
 from asyncio import Event, sleep
 from collections.abc import Callable
@@ -17,11 +17,11 @@
 from clementinebend_transport.client_connection import Address
 
 ANNOUNCE_RETRY_DELAY = 0.5
-"""Seconds after a failed announcement."""
+"""Delay in seconds before a failed announcement is retried."""
 
 
 class Announcement(NamedTuple):
-    """One boot of a process, where it takes datagrams, and its ``cores``."""
+    """A boot of a process, the address of its UDP socket, and its CPU ``cores``."""
 
     boot: str
     zone: str
@@ -31,15 +31,15 @@
 
     @property
     def address(self) -> Address:
-        """Where the process takes datagrams."""
+        """Address of the UDP socket."""
         return Address(self.host, self.port)
 
 
 class Directory:
-    """The newest announcement of each process, by its name.
+    """The newest announcement of each process, by process name.
 
-    ``version`` grows with each change: what is worked out from all names is
-    worked out once a version. ``known`` is set once all were read.
+    ``version`` grows with each change, so that values derived from all names can be
+    cached per version. ``known`` is set once the first snapshot has been read.
     """
 
     def __init__(self, on_change: Callable[[], None] | None = None) -> None:
@@ -49,7 +49,7 @@
         self.on_change = on_change
 
     def on_record(self, record: KeyedRecord) -> None:
-        """Take an announcement."""
+        """Apply an announcement, or the removal of one."""
         if not record.value:
             self.announcements.pop(record.key, None)
             self.version += 1
@@ -62,36 +62,36 @@
         self.put(record.key, announcement)
 
     def put(self, name: str, announcement: Announcement) -> None:
-        """Take the newest announcement of the process ``name``."""
+        """Store the newest announcement of the process ``name``."""
         self.announcements[name] = announcement
         self.version += 1
         if self.on_change is not None:
             self.on_change()
 
     def has_successor(self, boot: str) -> bool:
-        """Tell whether another boot of the same process has announced itself."""
+        """Tell whether a different boot of the same process has announced itself."""
         newest = self.announcements.get(name_of(Incarnation(boot)))
         return newest is not None and newest.boot != boot
 
     def is_announced(self, boot: str) -> bool:
-        """Tell whether a boot is the newest one of a process that is known."""
+        """Tell whether a boot is the newest announced one of its process."""
         newest = self.announcements.get(name_of(Incarnation(boot)))
         return newest is not None and newest.boot == boot
 
     def others(self, boot: str) -> list[Address]:
-        """Return where all processes but that of ``boot`` take datagrams."""
+        """Return the addresses of all processes except the one of ``boot``."""
         own = name_of(Incarnation(boot))
         return [
             each.address for name, each in self.announcements.items() if name != own
         ]
 
     def on_snapshot(self, keys: frozenset[str], end: int) -> None:
-        """Note that all are known; announcements are only ever replaced."""
+        """Mark the directory as complete; a snapshot removes no announcements."""
         self.known.set()
 
 
 async def announce(log: KeyedLog, name: str, announcement: Announcement) -> None:
-    """Write an announcement to the store, until that works."""
+    """Write an announcement to the store; retry until that succeeds."""
     record = encode(announcement)
     while True:
         outcome = await log.append(((name, record),), None)
