--- a/libs/relay/src/clementinebend_relay/cold_endpoints.py
+++ b/libs/relay/src/clementinebend_relay/cold_endpoints.py
@@ -22,7 +22,7 @@
     cold_limit,
 )
 
-LONGEST_COLD_SECONDS = 60.0
+MAX_COLD_SECONDS = 60.0
 """Upper limit in seconds of the cold time that an endpoint announces."""
 
 
@@ -54,7 +54,7 @@
     def on_announced(self, state: EndpointState) -> None:
         """Apply the remaining cold time of an endpoint's announcement."""
         now = self.clock()
-        cold_for = min(LONGEST_COLD_SECONDS, state.endpoint.cold_seconds)
+        cold_for = min(MAX_COLD_SECONDS, state.endpoint.cold_seconds)
         if cold_for > 0.0:
             state.cold_until = max(state.cold_until, now + cold_for)
         self.record_status(state)
--- a/tests/unit/relay/test_cold_endpoints.py
+++ b/tests/unit/relay/test_cold_endpoints.py
@@ -3,7 +3,7 @@
 import pytest
 
 from clementinebend_bench.models.virtual_loop import run_virtually
-from clementinebend_relay.cold_endpoints import LONGEST_COLD_SECONDS, ColdEndpoints
+from clementinebend_relay.cold_endpoints import MAX_COLD_SECONDS, ColdEndpoints
 from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.models import Endpoint
@@ -96,7 +96,7 @@
     cold, state = cold_endpoints_with(now), EndpointState(ENDPOINT, 0.0)
     state.endpoint = ENDPOINT._replace(cold_seconds=1e300)
     cold.on_announced(state)
-    now[0] += LONGEST_COLD_SECONDS + 1.0
+    now[0] += MAX_COLD_SECONDS + 1.0
     assert not cold.is_cold(state)
 
 
