--- a/libs/relay/src/clementinebend_relay/decisions.py
+++ b/libs/relay/src/clementinebend_relay/decisions.py
@@ -9,12 +9,12 @@
 logger = getLogger(__name__)
 
 
-def log_decision(decision: str, **inputs: Any) -> None:
-    """Write one line about ``decision``; ``inputs`` are what decided it."""
-    logger.info(decision, extra=inputs)
+def log_decision(decision: str, **fields: Any) -> None:
+    """Write one line about ``decision``; ``fields`` are what decided it."""
+    logger.info(decision, extra=fields)
 
 
-def log_dependency(name: str, is_lost: bool, **inputs: Any) -> None:
+def log_dependency(name: str, is_lost: bool, **fields: Any) -> None:
     """Write that a dependency was lost, or is back."""
     decision = "dependency lost" if is_lost else "dependency regained"
-    logger.warning(decision, extra={"dependency": name, **inputs})
+    logger.warning(decision, extra={"dependency": name, **fields})
