--- a/libs/relay/src/clementinebend_relay/cold_endpoints.py
+++ b/libs/relay/src/clementinebend_relay/cold_endpoints.py
@@ -27,7 +27,7 @@
 
 
 class ColdEndpoints:
-    """The cold endpoints and their call limits; all tasks of an entry share it."""
+    """The cold endpoints and their call limits; shared by all tasks of an entry."""
 
     def __init__(
         self, name: str, directory: Directory, clock: Callable[[], float]
@@ -74,7 +74,7 @@
         )
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Remove a boot of an endpoint that was dropped."""
+        """Stop counting a boot of an endpoint as cold; it was dropped."""
         self.cold_boots.discard(boot_name(endpoint))
         cold_endpoints.set(len(self.cold_boots))
 
@@ -89,7 +89,7 @@
         return self.clock() < max(state.cold_until, assumed_until)
 
     def permit_limit(self, state: EndpointState) -> PermitLimit | None:
-        """Return the current permit limit of an endpoint, none if it is unlimited."""
+        """Return the current permit limit of an endpoint, None if it is unlimited."""
         limit = self.limits.get(state.endpoint.service)
         if limit is None:
             return None
@@ -99,7 +99,8 @@
     def may_send(self, state: EndpointState, has_permit: bool | None) -> bool:
         """Tell whether a call may be sent to an endpoint now.
 
-        ``has_permit`` is the keeper's answer, none if its call count is not available.
+        ``has_permit`` is the answer of the process that counts the endpoint's calls,
+        None if its count is not available.
         """
         limit = self.limits.get(state.endpoint.service)
         if limit is None:
