--- a/libs/relay/src/clementinebend_relay/configuration.py
+++ b/libs/relay/src/clementinebend_relay/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force in this process: it never goes back."""
+"""The active configuration of this process; its version never decreases."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class ConfigurationTable:
-    """Takes records, keeps the newest version, and tells ``on_change`` of it."""
+    """Keeps the newest configuration and calls ``on_change`` with each newer one."""
 
     def __init__(
         self, records: Records, on_change: Callable[[Configuration], Any]
@@ -21,7 +21,7 @@
         self.current: Configuration | None = None
 
     def on_record(self, record: KeyedRecord) -> None:
-        """Take a record; all but a newer configuration change nothing."""
+        """Apply a record; anything but a newer configuration is ignored."""
         if record.key != CONFIGURATION_KEY or not record.value:
             return
         decoded = self.records.configuration(record.value)
@@ -40,11 +40,11 @@
             self.on_change(decoded)
 
     def on_snapshot(self, keys: frozenset[str], end: int) -> None:
-        """Do nothing: a snapshot without a configuration takes none back."""
+        """Do nothing: a snapshot without a configuration does not remove it."""
 
 
 def find_route(configuration: Configuration, host: str, path: str) -> Route | None:
-    """Return the route of ``host`` with the longest prefix of ``path``."""
+    """Return the route of ``host`` whose prefix is the longest one of ``path``."""
     routes = configuration.routes.get(host)
     if routes is None:
         return None
@@ -57,6 +57,6 @@
 
 
 def find_team(configuration: Configuration, key: str | None) -> Team | None:
-    """Return the team that holds a bearer key."""
+    """Return the team that a bearer key belongs to."""
     name = None if key is None else configuration.keys.get(key)
     return None if name is None else configuration.teams.get(name)
