--- a/libs/relay/src/clementinebend_relay/datagrams.py
+++ b/libs/relay/src/clementinebend_relay/datagrams.py
@@ -1,4 +1,4 @@
-"""A UDP socket for messages, owned by the process that made it."""
+"""UDP socket that sends and receives messages."""
 
 from asyncio import DatagramProtocol, DatagramTransport, get_running_loop
 from collections.abc import Callable, Iterable
@@ -10,18 +10,18 @@
 
 
 class DatagramSocket(DatagramProtocol):
-    """Sends messages and hands those that come to ``on_message``."""
+    """Sends messages and passes received ones to ``on_message``."""
 
     def __init__(self, on_message: Callable[[Message, Address], None]) -> None:
         self.on_message = on_message
         self.transport: DatagramTransport | None = None
 
     def connection_made(self, transport: object) -> None:
-        """Take over the socket."""
+        """Store the transport of the open socket."""
         self.transport = cast(DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Take a message."""
+        """Decode a datagram; log and drop it if it is not a message."""
         message = decoded(data)
         if isinstance(message, Unreadable):
             log_decision("datagram refused", sender=str(addr), problem=message.problem)
@@ -29,15 +29,15 @@
         self.on_message(message, Address(*addr[:2]))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that nobody listens at an address: the entry there is gone."""
+        """Ignore errors such as a closed port: the entry there has stopped."""
 
     def send(self, message: Message, address: Address) -> None:
-        """Send a message, if the socket is open."""
+        """Send a message; do nothing while the socket is not open."""
         if self.transport is not None:
             self.transport.sendto(encoded(message), address)
 
     def send_all(self, message: Message, addresses: Iterable[Address]) -> None:
-        """Send a message to several, encoded once."""
+        """Send a message to several addresses, encoding it only once."""
         if self.transport is None:
             return
         data = encoded(message)
@@ -53,7 +53,7 @@
 async def open_socket(
     address: Address, on_message: Callable[[Message, Address], None]
 ) -> DatagramSocket:
-    """Return a socket bound to ``address``; raises ``OSError`` if it cannot be."""
+    """Return a socket bound to ``address``; raise ``OSError`` if binding fails."""
     loop = get_running_loop()
     _, socket = await loop.create_datagram_endpoint(
         lambda: DatagramSocket(on_message), local_addr=address
