--- a/libs/relay/src/clementinebend_relay/decisions.py
+++ b/libs/relay/src/clementinebend_relay/decisions.py
@@ -1,6 +1,7 @@
-"""One log line for each decision that touches a call or changes a belief.
+"""Structured log lines for decisions about calls, endpoints and dependencies.
 
-A line carries the call's id, what decided, how old that was, and the outcome.
+Each decision is one line, with the fields that explain it, such as the call's id,
+the data it was based on and the age of that data, and its outcome.
 """
 
 from logging import getLogger
@@ -10,11 +11,11 @@
 
 
 def log_decision(decision: str, **fields: Any) -> None:
-    """Write one line about ``decision``; ``fields`` are what decided it."""
+    """Log a decision with the ``fields`` that explain it."""
     logger.info(decision, extra=fields)
 
 
 def log_dependency(name: str, is_lost: bool, **fields: Any) -> None:
-    """Write that a dependency was lost, or is back."""
+    """Log that a dependency has become unavailable or is available again."""
     decision = "dependency lost" if is_lost else "dependency regained"
     logger.warning(decision, extra={"dependency": name, **fields})
