--- a/libs/relay/src/clementinebend_relay/endpoint_ends.py
+++ b/libs/relay/src/clementinebend_relay/endpoint_ends.py
@@ -12,7 +12,7 @@
 
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.endpoint_state import EndpointState
-from clementinebend_relay.metrics import endpoint_ends
+from clementinebend_relay.metrics import ended_endpoints
 from clementinebend_relay.models import Endpoint, boot_name
 from clementinebend_routing.fatal_runs import FatalRun
 
@@ -157,7 +157,7 @@
 
     def _end(self, broken: Broken, ended_at: float, proof: str) -> None:
         broken.ended_at = ended_at
-        endpoint_ends.labels(broken.endpoint.service).inc()
+        ended_endpoints.labels(broken.endpoint.service).inc()
         log_decision(
             "endpoint ended",
             endpoint=broken.endpoint.name,
--- a/libs/relay/src/clementinebend_relay/metrics.py
+++ b/libs/relay/src/clementinebend_relay/metrics.py
@@ -20,7 +20,7 @@
     "Answers that endpoints ended before they were whole, by service.",
     ("service",),
 )
-endpoint_ends = counter(
+ended_endpoints = counter(
     "clementinebend_relay_endpoint_ends_total",
     "Endpoints that ended while calls of this entry ran there, by service.",
     ("service",),
