--- a/libs/bench/src/clementinebend_bench/experiments/choice.py
+++ b/libs/bench/src/clementinebend_bench/experiments/choice.py
@@ -15,7 +15,7 @@
 from clementinebend_relay.cold_endpoints import ColdEndpoints
 from clementinebend_relay.discovery import Directory
 from clementinebend_relay.dispatch import Dispatcher
-from clementinebend_relay.endpoint_ends import EndpointEnds
+from clementinebend_relay.end_detector import EndDetector
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.interfaces import HttpProtocol
@@ -106,7 +106,7 @@
         cast(HttpProtocol, None),  # no request is sent
         RetryLimits(0.2, 50, 10),
         quarantine,
-        EndpointEnds(monotonic, quarantine.running, lambda endpoint, runs: None),
+        EndDetector(monotonic, quarantine.running, lambda endpoint, runs: None),
         LeavingNews(boot, table, directory, _send_all),
         monotonic,
     )
--- a/libs/relay/src/clementinebend_relay/dispatch.py
+++ b/libs/relay/src/clementinebend_relay/dispatch.py
@@ -9,7 +9,7 @@
 from clementinebend_admission.retry_window import RetryLimits, RetryWindow
 from clementinebend_relay.admission import Admitted
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.endpoint_ends import EndpointEnds
+from clementinebend_relay.end_detector import EndDetector
 from clementinebend_relay.endpoint_state import EndpointState, Unread
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.interfaces import (
@@ -77,7 +77,7 @@
         protocol: HttpProtocol,
         retry_limits: RetryLimits,
         quarantine: Quarantine,
-        ends: EndpointEnds,
+        ends: EndDetector,
         leaving: LeavingNews,
         clock: Callable[[], float],
     ) -> None:
--- a/libs/relay/src/clementinebend_relay/endpoint_ends.py
+++ b/libs/relay/src/clementinebend_relay/end_detector.py
@@ -84,7 +84,7 @@
         ]
 
 
-class EndpointEnds:
+class EndDetector:
     """Watches endpoints whose answers broke off.
 
     ``on_ended`` is called with the runs that were there when one has ended. Until a
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -15,7 +15,7 @@
 from clementinebend_relay.datagrams import DatagramSocket, open_socket
 from clementinebend_relay.discovery import Announcement, Directory, announce
 from clementinebend_relay.dispatch import Dispatcher
-from clementinebend_relay.endpoint_ends import EndpointEnds
+from clementinebend_relay.end_detector import EndDetector
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.evacuations import Evacuations
 from clementinebend_relay.following import DIRECTORY_WITHIN, CombinedTable, Follower
@@ -150,7 +150,7 @@
             protocol,
             settings.retries,
             quarantine,
-            EndpointEnds(clock, quarantine.running, self.news.on_ended),
+            EndDetector(clock, quarantine.running, self.news.on_ended),
             self.leaving,
             clock,
         )
--- a/libs/relay/src/clementinebend_relay/quarantine.py
+++ b/libs/relay/src/clementinebend_relay/quarantine.py
@@ -12,7 +12,7 @@
 from math import inf
 
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.endpoint_ends import HEARD_LATE
+from clementinebend_relay.end_detector import HEARD_LATE
 from clementinebend_relay.metrics import quarantined_requests
 from clementinebend_relay.models import Reason, Rejection
 from clementinebend_routing.fatal_runs import (
--- a/libs/relay/src/clementinebend_relay/quarantine_news.py
+++ b/libs/relay/src/clementinebend_relay/quarantine_news.py
@@ -21,7 +21,7 @@
 from clementinebend_records.identifiers import KEY_DIGEST_BYTES
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.discovery import Directory
-from clementinebend_relay.endpoint_ends import EndedRun
+from clementinebend_relay.end_detector import EndedRun
 from clementinebend_relay.messages import (
     EndpointEndedMessage,
     FatalityMessage,
--- a/tests/unit/relay/quarantine_world.py
+++ b/tests/unit/relay/quarantine_world.py
@@ -8,7 +8,7 @@
 from clementinebend_bench.models.mark_store import ModelLog, Outage, StoreModel
 from clementinebend_records.identifiers import Incarnation, new_incarnation
 from clementinebend_relay.discovery import Announcement, Directory
-from clementinebend_relay.endpoint_ends import EndedRun
+from clementinebend_relay.end_detector import EndedRun
 from clementinebend_relay.following import DIRECTORY_WITHIN, Follower
 from clementinebend_relay.messages import Message, decoded, encoded
 from clementinebend_relay.models import Endpoint, boot_name
--- a/tests/unit/relay/test_endpoint_ends.py
+++ b/tests/unit/relay/test_endpoint_ends.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from clementinebend_relay.endpoint_ends import (
+from clementinebend_relay.end_detector import (
     HEARD_LATE,
     UNPROVED_SECONDS,
+    EndDetector,
     EndedRun,
-    EndpointEnds,
 )
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.models import Endpoint, boot_name
@@ -24,7 +24,7 @@
     """An endpoint's address, the watch over it, and what it has told."""
 
     state: EndpointState
-    ends: EndpointEnds
+    ends: EndDetector
     told: list[EndedRun]
     set_clock: Callable[[float], None]
 
@@ -54,7 +54,7 @@
         times[0] = at
 
     quarantine = Quarantine(clock)
-    ends = EndpointEnds(clock, quarantine.running, lambda _, runs: told.extend(runs))
+    ends = EndDetector(clock, quarantine.running, lambda _, runs: told.extend(runs))
     yield Watched(state, ends, told, set_clock)
 
 
--- a/tests/unit/relay/test_quarantine.py
+++ b/tests/unit/relay/test_quarantine.py
@@ -4,7 +4,7 @@
 
 from clementinebend_bench.models.mark_store import ModelLog, Outage
 from clementinebend_bench.models.virtual_loop import run_virtually
-from clementinebend_relay.endpoint_ends import EndedRun
+from clementinebend_relay.end_detector import EndedRun
 from clementinebend_relay.messages import (
     EndpointEndedMessage,
     QuarantineMessage,
