--- a/libs/relay/src/clementinebend_relay/end_detector.py
+++ b/libs/relay/src/clementinebend_relay/end_detector.py
@@ -16,28 +16,28 @@
 from clementinebend_relay.models import Endpoint, boot_name
 from clementinebend_routing.fatal_runs import FatalRun
 
-LOOK_PAUSES = (0.02, 0.4)
+CONNECT_DELAYS = (0.02, 0.4)
 """Seconds before the first look whether somebody listens at the address, and before
 the second one: a process that ends closes its connections a little sooner."""
 
-LOOK_SECONDS = 0.4
+CONNECT_TIMEOUT = 0.4
 """Time for a connection, as calls have it."""
 
-UNPROVED_SECONDS = 3.0
+UNCONFIRMED_SECONDS = 3.0
 """How long broken answers are remembered while their endpoint's end is not proved."""
 
-GATHER_SECONDS = 0.02
+COLLECT_SECONDS = 0.02
 """How long the runs of an ended endpoint are gathered before they are told."""
 
 
-TOGETHER_SECONDS = 0.5
+SIMULTANEOUS_SECONDS = 0.5
 """An endpoint's end breaks all its answers off within this time."""
 
-HEARD_LATE = 0.5
+LATE_DATA_SECONDS = 0.5
 """Seconds after an endpoint's end for which its last words may still come."""
 
 
-SIGN_SECONDS = 1.0
+RECENT_ACTIVITY_SECONDS = 1.0
 """An endpoint that sent something so shortly before a call was sent, or since, still
 lived then."""
 
@@ -71,7 +71,9 @@
         """Return when the answers broke off that did so together, as the last ones."""
         last = max((each.run.ended_at for each in self.runs), default=self.at)
         times = (each.run.ended_at for each in self.runs)
-        return min((at for at in times if at > last - TOGETHER_SECONDS), default=last)
+        return min(
+            (at for at in times if at > last - SIMULTANEOUS_SECONDS), default=last
+        )
 
     def take_runs(self) -> list[EndedRun]:
         """Return the runs that were there as the endpoint ended, and forget all."""
@@ -115,7 +117,7 @@
         run = FatalRun(boot, sent_at, now)
         ended = EndedRun(fingerprint, run)
         broken.runs.append(ended)
-        if state.answered_at > sent_at - SIGN_SECONDS:
+        if state.answered_at > sent_at - RECENT_ACTIVITY_SECONDS:
             broken.with_sign.add(ended)
         broken.hold.enter_context(self.running(fingerprint))
         if broken.task is None:
@@ -124,7 +126,7 @@
     def on_alive(self, boot: str) -> None:
         """Take that an endpoint has answered: what broke off had other causes."""
         broken = self.broken.get(boot)
-        if broken is not None and self.clock() - broken.at > HEARD_LATE:
+        if broken is not None and self.clock() - broken.at > LATE_DATA_SECONDS:
             del self.broken[boot]
             broken.is_void = True
 
@@ -139,7 +141,7 @@
 
     async def _look(self, broken: Broken) -> None:
         """Look whether an endpoint has ended, and tell of the runs there."""
-        for pause in LOOK_PAUSES:
+        for pause in CONNECT_DELAYS:
             await sleep(pause)
             if broken.ended_at is not None or broken.is_void:
                 break
@@ -149,7 +151,7 @@
                 self._end(broken, ended_at, "nobody listens at its address")
                 break
             broken.hold.close()
-        await sleep(GATHER_SECONDS)
+        await sleep(COLLECT_SECONDS)
         broken.task = None
         if broken.ended_at is not None:
             self._tell(broken)
@@ -177,7 +179,7 @@
         old = [
             boot
             for boot, broken in self.broken.items()
-            if now - broken.at > UNPROVED_SECONDS and broken.task is None
+            if now - broken.at > UNCONFIRMED_SECONDS and broken.task is None
         ]
         for boot in old:
             del self.broken[boot]
@@ -186,7 +188,7 @@
 async def is_refused(endpoint: Endpoint) -> bool:
     """Tell whether nobody listens at an endpoint's address."""
     try:
-        async with timeout(LOOK_SECONDS):
+        async with timeout(CONNECT_TIMEOUT):
             _, writer = await open_connection(*endpoint.address)
     except ConnectionRefusedError:
         return True
--- a/libs/relay/src/clementinebend_relay/quarantine.py
+++ b/libs/relay/src/clementinebend_relay/quarantine.py
@@ -12,7 +12,7 @@
 from math import inf
 
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.end_detector import HEARD_LATE
+from clementinebend_relay.end_detector import LATE_DATA_SECONDS
 from clementinebend_relay.metrics import quarantined_requests
 from clementinebend_relay.models import Reason, Rejection
 from clementinebend_routing.fatal_runs import (
@@ -136,7 +136,7 @@
         by a request that is quarantined, or if the endpoint was heard since. Nor is it
         if the run was sent after the end, as another entry saw it.
         """
-        if self.alive_at.get(run.endpoint, -inf) > run.ended_at + HEARD_LATE:
+        if self.alive_at.get(run.endpoint, -inf) > run.ended_at + LATE_DATA_SECONDS:
             return False
         run = run._replace(ended_at=self._first_end(run))
         if run.sent_at > run.ended_at + OVERLAP_SECONDS:
@@ -192,7 +192,7 @@
         self.alive_at[endpoint] = self.clock()
         if len(self.alive_at) > MOST_ALIVE:
             del self.alive_at[next(iter(self.alive_at))]
-        if self.clock() - self.ended_at.get(endpoint, inf) <= HEARD_LATE:
+        if self.clock() - self.ended_at.get(endpoint, inf) <= LATE_DATA_SECONDS:
             return
         del self.ended_at[endpoint]
         log_decision("endpoint not ended", endpoint=endpoint)
--- a/tests/unit/relay/test_endpoint_ends.py
+++ b/tests/unit/relay/test_endpoint_ends.py
@@ -7,8 +7,8 @@
 import pytest
 
 from clementinebend_relay.end_detector import (
-    HEARD_LATE,
-    UNPROVED_SECONDS,
+    LATE_DATA_SECONDS,
+    UNCONFIRMED_SECONDS,
     EndDetector,
     EndedRun,
 )
@@ -133,7 +133,7 @@
     watched.ends.on_broken(watched.state, "a", 99.0)
     watched.ends.on_alive(watched.boot)
     assert watched.boot in watched.ends.broken
-    watched.set_clock(100.0 + 2 * HEARD_LATE)
+    watched.set_clock(100.0 + 2 * LATE_DATA_SECONDS)
     watched.ends.on_alive(watched.boot)
     watched.ends.on_gone(watched.state.endpoint)
     assert not watched.told
@@ -146,7 +146,7 @@
     server = await listen(watched)
     watched.ends.on_broken(watched.state, "a", 99.0)
     await looked(watched)
-    watched.set_clock(100.0 + 2 * UNPROVED_SECONDS)
+    watched.set_clock(100.0 + 2 * UNCONFIRMED_SECONDS)
     watched.state.on_leaving(100.0)
     watched.ends.on_broken(watched.state, "b", 99.0)
     assert not watched.told
