--- a/libs/relay/src/clementinebend_relay/end_detector.py
+++ b/libs/relay/src/clementinebend_relay/end_detector.py
@@ -49,11 +49,11 @@
     run: FatalRun
 
 
-class Broken:
+class BrokenAnswers:
     """The answers of one boot of an endpoint that broke off since it was heard last.
 
-    ``runs`` has the time of each break as that of the run's end; ``with_sign`` those
-    before which the endpoint had shown that it lives. ``ended_at`` is when
+    ``runs`` has the time of each break as that of the run's end; ``recently_active``
+    those before which the endpoint had shown that it lives. ``ended_at`` is when
     the endpoint ended, once that is proved.
     """
 
@@ -61,13 +61,13 @@
         self.endpoint = endpoint
         self.at = at
         self.runs: list[EndedRun] = []
-        self.with_sign: set[EndedRun] = set()
+        self.recently_active: set[EndedRun] = set()
         self.ended_at: float | None = None
-        self.is_void = False
+        self.is_discarded = False
         self.task: Task[None] | None = None
-        self.hold = ExitStack()
+        self.held_runs = ExitStack()
 
-    def last_break(self) -> float:
+    def last_break_start(self) -> float:
         """Return when the answers broke off that did so together, as the last ones."""
         last = max((each.run.ended_at for each in self.runs), default=self.at)
         times = (each.run.ended_at for each in self.runs)
@@ -75,7 +75,7 @@
             (at for at in times if at > last - SIMULTANEOUS_SECONDS), default=last
         )
 
-    def take_runs(self) -> list[EndedRun]:
+    def pop_runs(self) -> list[EndedRun]:
         """Return the runs that were there as the endpoint ended, and forget all."""
         runs, self.runs = self.runs, []
         ended_at = self.at if self.ended_at is None else self.ended_at
@@ -102,7 +102,7 @@
         self.clock = clock
         self.running = running
         self.on_ended = on_ended
-        self.broken: dict[str, Broken] = {}
+        self.broken: dict[str, BrokenAnswers] = {}
 
     def on_broken(self, state: EndpointState, fingerprint: str, sent_at: float) -> None:
         """Note that an endpoint ended a connection before its answer was whole.
@@ -112,23 +112,23 @@
         if state.is_leaving(self.clock()) or state.lapsed_at is not None:
             return
         boot, now = boot_name(state.endpoint), self.clock()
-        self._forget(now)
-        broken = self.broken.setdefault(boot, Broken(state.endpoint, now))
+        self._drop_expired(now)
+        broken = self.broken.setdefault(boot, BrokenAnswers(state.endpoint, now))
         run = FatalRun(boot, sent_at, now)
         ended = EndedRun(fingerprint, run)
         broken.runs.append(ended)
         if state.answered_at > sent_at - RECENT_ACTIVITY_SECONDS:
-            broken.with_sign.add(ended)
-        broken.hold.enter_context(self.running(fingerprint))
+            broken.recently_active.add(ended)
+        broken.held_runs.enter_context(self.running(fingerprint))
         if broken.task is None:
-            broken.task = create_task(self._look(broken))
+            broken.task = create_task(self._check_address(broken))
 
     def on_alive(self, boot: str) -> None:
         """Take that an endpoint has answered: what broke off had other causes."""
         broken = self.broken.get(boot)
         if broken is not None and self.clock() - broken.at > LATE_DATA_SECONDS:
             del self.broken[boot]
-            broken.is_void = True
+            broken.is_discarded = True
 
     def on_gone(self, endpoint: Endpoint) -> None:
         """Take that a boot of an endpoint is not there any more."""
@@ -136,28 +136,30 @@
         if broken is not None and broken.ended_at is None:
             # When it ended is not known: perhaps before these calls were sent, to
             # something that takes connections for it.
-            broken.runs = [each for each in broken.runs if each in broken.with_sign]
+            broken.runs = [
+                each for each in broken.runs if each in broken.recently_active
+            ]
             self._end(broken, broken.at, "another boot is there, or none")
 
-    async def _look(self, broken: Broken) -> None:
+    async def _check_address(self, broken: BrokenAnswers) -> None:
         """Look whether an endpoint has ended, and tell of the runs there."""
         for pause in CONNECT_DELAYS:
             await sleep(pause)
-            if broken.ended_at is not None or broken.is_void:
+            if broken.ended_at is not None or broken.is_discarded:
                 break
-            if await is_refused(broken.endpoint) and not broken.is_void:
+            if await is_refused(broken.endpoint) and not broken.is_discarded:
                 # What broke off well before had another cause.
-                ended_at = broken.last_break()
+                ended_at = broken.last_break_start()
                 self._end(broken, ended_at, "nobody listens at its address")
                 break
-            broken.hold.close()
+            broken.held_runs.close()
         await sleep(COLLECT_SECONDS)
         broken.task = None
         if broken.ended_at is not None:
-            self._tell(broken)
-        broken.hold.close()
+            self._report(broken)
+        broken.held_runs.close()
 
-    def _end(self, broken: Broken, ended_at: float, proof: str) -> None:
+    def _end(self, broken: BrokenAnswers, ended_at: float, proof: str) -> None:
         broken.ended_at = ended_at
         ended_endpoints.labels(broken.endpoint.service).inc()
         log_decision(
@@ -168,14 +170,14 @@
             fingerprints=sorted({each.fingerprint for each in broken.runs}),
         )
         if broken.task is None:
-            self._tell(broken)
+            self._report(broken)
 
-    def _tell(self, broken: Broken) -> None:
-        runs = broken.take_runs()
+    def _report(self, broken: BrokenAnswers) -> None:
+        runs = broken.pop_runs()
         if runs:
             self.on_ended(broken.endpoint, runs)
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         old = [
             boot
             for boot, broken in self.broken.items()
--- a/tests/unit/relay/test_endpoint_ends.py
+++ b/tests/unit/relay/test_endpoint_ends.py
@@ -156,5 +156,5 @@
 async def test_runs_last_on_until_the_first_look(watched: Watched) -> None:
     watched.ends.on_broken(watched.state, "a", 99.0)
     broken = watched.ends.broken[watched.boot]
-    assert broken.hold.pop_all()  # what counts them has been entered
+    assert broken.held_runs.pop_all()  # what counts them has been entered
     await looked(watched)
