--- a/libs/relay/src/clementinebend_relay/end_detector.py
+++ b/libs/relay/src/clementinebend_relay/end_detector.py
@@ -1,8 +1,8 @@
-"""Whether an endpoint whose answers broke off has ended, and what ran there.
+"""Detects that an endpoint's process has ended, and which runs it ended under.
 
-One connection that ends is no proof: connections are reset and answers spoilt while
-the endpoint lives on. Proof is that nobody listens at its address, or that another
-boot is there.
+A broken connection alone is no proof: connections are reset and answers corrupted
+while the endpoint keeps running. Proof is a refused connection at its address, or the
+announcement of another boot.
 """
 
 from asyncio import Task, create_task, open_connection, sleep, timeout
@@ -17,44 +17,45 @@
 from clementinebend_routing.fatal_runs import FatalRun
 
 CONNECT_DELAYS = (0.02, 0.4)
-"""Seconds before the first look whether somebody listens at the address, and before
-the second one: a process that ends closes its connections a little sooner."""
+"""Seconds before the first connection to the address, and between the first and the
+second one: an ending process closes its connections shortly before its socket."""
 
 CONNECT_TIMEOUT = 0.4
-"""Time for a connection, as calls have it."""
+"""Timeout in seconds for a connection, the same as for calls."""
 
 UNCONFIRMED_SECONDS = 3.0
-"""How long broken answers are remembered while their endpoint's end is not proved."""
+"""Seconds for which broken answers are kept while the endpoint's end is not proved."""
 
 COLLECT_SECONDS = 0.02
-"""How long the runs of an ended endpoint are gathered before they are told."""
+"""Seconds for which the runs of an ended endpoint are collected before the report."""
 
 
 SIMULTANEOUS_SECONDS = 0.5
-"""An endpoint's end breaks all its answers off within this time."""
+"""The end of an endpoint breaks all its answers within this many seconds."""
 
 LATE_DATA_SECONDS = 0.5
-"""Seconds after an endpoint's end for which its last words may still come."""
+"""Seconds after an endpoint's end in which data that it sent may still arrive."""
 
 
 RECENT_ACTIVITY_SECONDS = 1.0
-"""An endpoint that sent something so shortly before a call was sent, or since, still
-lived then."""
+"""An endpoint whose last data arrived at most this many seconds before a call was sent,
+or later, is taken to have been running when the call was sent."""
 
 
 class EndedRun(NamedTuple):
-    """A run of the request ``fingerprint`` that an endpoint's end broke off."""
+    """A run of the request ``fingerprint`` that the end of its endpoint interrupted."""
 
     fingerprint: str
     run: FatalRun
 
 
 class BrokenAnswers:
-    """The answers of one boot of an endpoint that broke off since it was heard last.
+    """Answers of one boot of an endpoint that broke off since its last data.
 
-    ``runs`` has the time of each break as that of the run's end; ``recently_active``
-    those before which the endpoint had shown that it lives. ``ended_at`` is when
-    the endpoint ended, once that is proved.
+    ``at`` is the time of the first break. Each of the ``runs`` ends at the time of its
+    break; ``recently_active`` are those before which the endpoint was active.
+    ``ended_at`` is when the endpoint ended, once that is proved. ``held_runs`` keeps
+    the runs counted as in progress.
     """
 
     def __init__(self, endpoint: Endpoint, at: float) -> None:
@@ -68,7 +69,7 @@
         self.held_runs = ExitStack()
 
     def last_break_start(self) -> float:
-        """Return when the answers broke off that did so together, as the last ones."""
+        """Return when the last group of nearly simultaneous breaks began."""
         last = max((each.run.ended_at for each in self.runs), default=self.at)
         times = (each.run.ended_at for each in self.runs)
         return min(
@@ -76,7 +77,7 @@
         )
 
     def pop_runs(self) -> list[EndedRun]:
-        """Return the runs that were there as the endpoint ended, and forget all."""
+        """Remove all runs; return those in progress when the endpoint ended."""
         runs, self.runs = self.runs, []
         ended_at = self.at if self.ended_at is None else self.ended_at
         return [
@@ -87,10 +88,11 @@
 
 
 class EndDetector:
-    """Watches endpoints whose answers broke off.
+    """Checks endpoints whose answers broke off.
 
-    ``on_ended`` is called with the runs that were there when one has ended. Until a
-    first look at the endpoint, runs of a request last on, by ``running``.
+    ``on_ended`` is called with the runs in progress when an endpoint ended. Until the
+    first check of an endpoint, ``running`` keeps its broken runs counted as in
+    progress.
     """
 
     def __init__(
@@ -105,9 +107,10 @@
         self.broken: dict[str, BrokenAnswers] = {}
 
     def on_broken(self, state: EndpointState, fingerprint: str, sent_at: float) -> None:
-        """Note that an endpoint ended a connection before its answer was whole.
+        """Record that an endpoint closed a connection before its answer was complete.
 
-        One that leaves, or whose announcement has lapsed, is expected to end.
+        Ignored if the endpoint is leaving or its announcement has lapsed: its end is
+        expected.
         """
         if state.is_leaving(self.clock()) or state.lapsed_at is not None:
             return
@@ -124,31 +127,34 @@
             broken.task = create_task(self._check_address(broken))
 
     def on_alive(self, boot: str) -> None:
-        """Take that an endpoint has answered: what broke off had other causes."""
+        """Record an answer of an endpoint: its broken answers had other causes.
+
+        Answers that arrive within ``LATE_DATA_SECONDS`` prove nothing.
+        """
         broken = self.broken.get(boot)
         if broken is not None and self.clock() - broken.at > LATE_DATA_SECONDS:
             del self.broken[boot]
             broken.is_discarded = True
 
     def on_gone(self, endpoint: Endpoint) -> None:
-        """Take that a boot of an endpoint is not there any more."""
+        """Record that a boot of an endpoint has been dropped, which proves its end."""
         broken = self.broken.get(boot_name(endpoint))
         if broken is not None and broken.ended_at is None:
-            # When it ended is not known: perhaps before these calls were sent, to
-            # something that takes connections for it.
+            # The time of the end is unknown. It may have ended before these calls were
+            # sent, with a proxy that accepted the connections in its place.
             broken.runs = [
                 each for each in broken.runs if each in broken.recently_active
             ]
             self._end(broken, broken.at, "another boot is there, or none")
 
     async def _check_address(self, broken: BrokenAnswers) -> None:
-        """Look whether an endpoint has ended, and tell of the runs there."""
+        """Check whether an endpoint has ended, and report the runs it interrupted."""
         for pause in CONNECT_DELAYS:
             await sleep(pause)
             if broken.ended_at is not None or broken.is_discarded:
                 break
             if await is_refused(broken.endpoint) and not broken.is_discarded:
-                # What broke off well before had another cause.
+                # Answers that broke off well before the end had another cause.
                 ended_at = broken.last_break_start()
                 self._end(broken, ended_at, "nobody listens at its address")
                 break
@@ -188,14 +194,14 @@
 
 
 async def is_refused(endpoint: Endpoint) -> bool:
-    """Tell whether nobody listens at an endpoint's address."""
+    """Tell whether an endpoint's address refuses connections."""
     try:
         async with timeout(CONNECT_TIMEOUT):
             _, writer = await open_connection(*endpoint.address)
     except ConnectionRefusedError:
         return True
     except (OSError, TimeoutError) as error:
-        log_decision("endpoint not proved to have ended", problem=str(error))
+        log_decision("endpoint end not proved", problem=str(error))
         return False
     writer.close()
     return False
