--- a/libs/relay/src/clementinebend_relay/dispatch.py
+++ b/libs/relay/src/clementinebend_relay/dispatch.py
@@ -10,7 +10,7 @@
 from clementinebend_relay.admission import Admitted
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.end_detector import EndDetector
-from clementinebend_relay.endpoint_state import EndpointState, Unread
+from clementinebend_relay.endpoint_state import EndpointState, UnreadCall
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.interfaces import (
     Dispatch,
@@ -140,7 +140,7 @@
         fetch_from = None if source is None else source.endpoint.address
         state.add_unread(
             call.request_id,
-            Unread(
+            UnreadCall(
                 admitted.priority,
                 placement.tokens,
                 placement.ahead,
@@ -161,9 +161,9 @@
         try:
             yield
         finally:
-            state.note_silence(self.clock())
+            state.check_silence(self.clock())
             state.in_flight -= 1
-            state.take_unread(call.request_id)
+            state.pop_unread(call.request_id)
             self.probes.on_ended(state.endpoint, call.request_id)
 
     def _on_alive(self, boot: str) -> None:
@@ -193,7 +193,7 @@
 
     def on_first_token(self, admitted: Admitted, state: EndpointState) -> None:
         """Note that the prompt of a call has been read, and how long that took."""
-        call = state.take_unread(admitted.call.request_id)
+        call = state.pop_unread(admitted.call.request_id)
         if call is None:
             return
         self.probes.on_read(state.endpoint, admitted.call.request_id)
--- a/libs/relay/src/clementinebend_relay/endpoint_state.py
+++ b/libs/relay/src/clementinebend_relay/endpoint_state.py
@@ -23,11 +23,11 @@
 """How long an endpoint's word that it leaves holds: far longer than leaving takes, and
 bounded, so that one that errs gets work again. It ends with the endpoint's boot."""
 
-LONGEST_PAUSE = 60.0
+MAX_PAUSE = 60.0
 """The longest pause in seconds that an endpoint gets without being asked again."""
 
 
-class Unread(NamedTuple):
+class UnreadCall(NamedTuple):
     """A call at an endpoint of which nothing has come back yet.
 
     ``tokens`` of its prompt are to be read there, after ``ahead`` others; what
@@ -63,7 +63,7 @@
         self.answered_at = -inf
         self.announced_at = now
         self.doubt = Doubt()
-        self.unread: dict[str, Unread] = {}
+        self.unread: dict[str, UnreadCall] = {}
         self.lapsed_at: float | None = None
         self.leaving_until = -inf
         self.paused_until = -inf
@@ -78,7 +78,7 @@
         """
         return self.endpoint.is_leaving or now < self.leaving_until
 
-    def is_open(self, now: float) -> bool:
+    def accepts_calls(self, now: float) -> bool:
         """Tell whether the endpoint takes work: it neither leaves nor wants a pause."""
         return not self.is_leaving(now) and now >= self.paused_until
 
@@ -90,21 +90,21 @@
 
     def on_pause(self, seconds: float, now: float) -> None:
         """Take that the endpoint wants nothing from this entry for some seconds."""
-        self.paused_until = max(self.paused_until, now + min(seconds, LONGEST_PAUSE))
+        self.paused_until = max(self.paused_until, now + min(seconds, MAX_PAUSE))
 
-    def add_unread(self, request_id: str, call: Unread) -> None:
+    def add_unread(self, request_id: str, call: UnreadCall) -> None:
         """Count a call that is sent there."""
         self.unread[request_id] = call
         self.prefill[call.priority] += call.tokens
 
-    def take_unread(self, request_id: str) -> Unread | None:
+    def pop_unread(self, request_id: str) -> UnreadCall | None:
         """Count a call no more, as its first token has come or it has ended."""
         call = self.unread.pop(request_id, None)
         if call is not None:
             self.prefill[call.priority] -= call.tokens
         return call
 
-    def ahead_of(self, priority: int) -> int:
+    def tokens_ahead(self, priority: int) -> int:
         """Return this entry's tokens there that are read before a new call's prompt."""
         return sum(
             tokens for level, tokens in self.prefill.items() if level <= priority
@@ -131,7 +131,7 @@
     def is_doubted(self, now: float) -> bool:
         """Tell whether the endpoint should get no work while others can have it."""
         if self.is_silent(now):
-            self.note_silence(now)
+            self.check_silence(now)
             return True
         return not is_over(self.doubt, self.announced_at, now)
 
@@ -164,7 +164,7 @@
         """Take note that a call goes there, doubted or not."""
         self.doubt = on_tried(self.doubt)
 
-    def note_silence(self, now: float) -> None:
+    def check_silence(self, now: float) -> None:
         """Begin to doubt an endpoint that is silent about first tokens or streams.
 
         A plain service may work on one call for longer: it is avoided only while it
--- a/libs/relay/src/clementinebend_relay/endpoints.py
+++ b/libs/relay/src/clementinebend_relay/endpoints.py
@@ -165,7 +165,7 @@
         return state.endpoint.zone in self.evacuated_zones
 
     def _is_open(self, state: EndpointState, now: float) -> bool:
-        return state.is_open(now) and not self._is_evacuated(state)
+        return state.accepts_calls(now) and not self._is_evacuated(state)
 
     def _of(self, service: str) -> list[EndpointState]:
         return [
--- a/libs/relay/src/clementinebend_relay/survey.py
+++ b/libs/relay/src/clementinebend_relay/survey.py
@@ -191,7 +191,7 @@
         report = reports.get(state.endpoint.name)
         if report is None:
             unread = self.sessions.uncached(state.endpoint.name, admitted.call.parts)
-            ahead = state.ahead_of(admitted.priority)
+            ahead = state.tokens_ahead(admitted.priority)
             own = QueueReport(state.in_flight, ahead, unread, state.pace.seconds)
             return Offer(state, own, is_told=False)
         if report.pace is not None:
--- a/tests/unit/relay/test_attempts.py
+++ b/tests/unit/relay/test_attempts.py
@@ -8,7 +8,7 @@
 from clementinebend_relay.admission import Admitted
 from clementinebend_relay.attempts import UNSERVED_TRIES, Attempts
 from clementinebend_relay.dispatch import NotSent, Opened
-from clementinebend_relay.endpoint_state import Unread
+from clementinebend_relay.endpoint_state import UnreadCall
 from clementinebend_relay.interfaces import Verdict
 from clementinebend_relay.models import RouteKind
 from clementinebend_relay.progress import CallProgress
@@ -17,7 +17,7 @@
 from tests.unit.relay import calls
 from tests.unit.relay.calls import CALL
 
-UNREAD = Unread(1, 100, 0.0, 0.0, None)
+UNREAD = UnreadCall(1, 100, 0.0, 0.0, None)
 
 
 class FakeDispatcher:
--- a/tests/unit/relay/test_endpoints.py
+++ b/tests/unit/relay/test_endpoints.py
@@ -7,8 +7,8 @@
 from clementinebend_relay.discovery import Directory
 from clementinebend_relay.endpoint_state import (
     LEAVING_SECONDS,
-    LONGEST_PAUSE,
-    Unread,
+    MAX_PAUSE,
+    UnreadCall,
 )
 from clementinebend_relay.endpoints import ALL_LEAVE_PAUSE, EndpointTable
 from clementinebend_relay.interfaces import Unusable
@@ -83,12 +83,12 @@
     dropped: list[Endpoint] = []
     table.on_drop = dropped.append
     earlier = table.states["a"]
-    earlier.add_unread("r", Unread(1, 9_000, 0.0, 100.0, None))
+    earlier.add_unread("r", UnreadCall(1, 9_000, 0.0, 100.0, None))
     earlier.in_flight = 3
     put(table, "a", b"1 pool 8")
     later = table.states["a"]
     assert later is not earlier
-    assert (later.in_flight, later.ahead_of(9), later.unread) == (0, 0, {})
+    assert (later.in_flight, later.tokens_ahead(9), later.unread) == (0, 0, {})
     assert [endpoint.boot for endpoint in dropped] == [7]
 
 
@@ -131,11 +131,11 @@
     table = table_at(lambda: now[0])
     put(table, "a", b"1")
     state = table.states["a"]
-    state.add_unread("r", Unread(1, 900, 0.0, now[0], None))
+    state.add_unread("r", UnreadCall(1, 900, 0.0, now[0], None))
     state.in_flight = 1
     now[0] += 1.01 * SILENT_SECONDS
     assert state.is_doubted(now[0])
-    state.take_unread("r")
+    state.pop_unread("r")
     state.in_flight = 0
     now[0] += 0.5
     assert state.is_doubted(now[0])
@@ -156,10 +156,10 @@
 
 def test_a_plain_service_at_work_for_long_is_avoided_and_not_doubted() -> None:
     state = table_of(("a", b"1")).states["a"]
-    state.add_unread("r", Unread(1, 0, 0.0, 100.0, None))
+    state.add_unread("r", UnreadCall(1, 0, 0.0, 100.0, None))
     state.in_flight = 1
     assert state.is_doubted(100.1 + SILENT_SECONDS)
-    state.take_unread("r")
+    state.pop_unread("r")
     state.in_flight = 0
     assert not state.is_doubted(100.1 + SILENT_SECONDS)
 
@@ -199,5 +199,5 @@
     assert names(table) == set()
     table.clock = lambda: 102.0
     assert names(table) == {"b"}
-    table.clock = lambda: 100.0 + LONGEST_PAUSE
+    table.clock = lambda: 100.0 + MAX_PAUSE
     assert names(table) == {"a", "b"}
