--- a/libs/relay/src/clementinebend_relay/endpoint_state.py
+++ b/libs/relay/src/clementinebend_relay/endpoint_state.py
@@ -1,4 +1,7 @@
-"""What this entry sees of one boot of an endpoint: its load, pace, health and doubt."""
+"""State of one boot of an endpoint as seen by this entry.
+
+Holds its load, prompt reading speed, health, and whether it is suspected to be down.
+"""
 
 from collections import Counter
 from math import inf
@@ -20,18 +23,20 @@
 from clementinebend_transport.client_connection import Address
 
 LEAVING_SECONDS = 120.0
-"""How long an endpoint's word that it leaves holds: far longer than leaving takes, and
-bounded, so that one that errs gets work again. It ends with the endpoint's boot."""
+"""Seconds for which an endpoint counts as leaving after it said so in an answer: far
+longer than leaving takes, but bounded, so that an endpoint that said so by mistake gets
+calls again. A new boot of the endpoint does not count as leaving."""
 
 MAX_PAUSE = 60.0
-"""The longest pause in seconds that an endpoint gets without being asked again."""
+"""Upper limit in seconds of the pause that an endpoint can request at one time."""
 
 
 class UnreadCall(NamedTuple):
-    """A call at an endpoint of which nothing has come back yet.
+    """A call sent to an endpoint that has not returned its first token yet.
 
-    ``tokens`` of its prompt are to be read there, after ``ahead`` others; what
-    ``fetch_from`` keeps of it is fetched instead.
+    The endpoint has to read ``tokens`` of its prompt, after ``ahead`` tokens of other
+    calls. The parts of the prompt cached by the endpoint at ``fetch_from`` are fetched
+    from there instead.
     """
 
     priority: int
@@ -42,14 +47,14 @@
 
 
 class EndpointState:
-    """What this entry knows of one endpoint; times on the steady clock.
-
-    ``prefill`` is the tokens to be read of all ``unread`` calls, by priority.
-    ``heard_at`` is when the endpoint last sent bytes, or became known; ``answered_at``
-    the same, if it ever has sent any. ``available_since`` is when it was added or
-    became available again: it may be cold from then on; ``cold_until`` is the end of
-    the cold time that it announced. ``last_sent_at`` is when this entry last sent it a
-    call.
+    """State of one endpoint; times are on the monotonic clock.
+
+    ``prefill`` is the number of prompt tokens left to read of all ``unread`` calls, by
+    priority. ``heard_at`` is when the endpoint last sent bytes, initially when it was
+    added; ``answered_at`` is when it last sent bytes, initially minus infinity.
+    ``available_since`` is when it was added or became available again: it may be cold
+    from then on; ``cold_until`` is the end of the cold time that it announced.
+    ``last_sent_at`` is when this entry last sent it a call.
     """
 
     def __init__(self, endpoint: Endpoint, now: float) -> None:
@@ -72,46 +77,47 @@
         self.last_sent_at = -inf
 
     def is_leaving(self, now: float) -> bool:
-        """Tell whether the endpoint is about to end, by its announcement or answers.
+        """Tell whether the endpoint is about to stop, by its announcement or answers.
 
-        Its answers go before announcements, which may be old, while the store is away.
+        Answers are checked as well because announcements may be outdated while the
+        store is unavailable.
         """
         return self.endpoint.is_leaving or now < self.leaving_until
 
     def accepts_calls(self, now: float) -> bool:
-        """Tell whether the endpoint takes work: it neither leaves nor wants a pause."""
+        """Tell whether the endpoint is neither leaving nor in a requested pause."""
         return not self.is_leaving(now) and now >= self.paused_until
 
     def on_leaving(self, now: float) -> bool:
-        """Take the endpoint's word that it leaves; return whether that is new."""
+        """Mark the endpoint as leaving; return whether it was not marked before."""
         is_new = not self.is_leaving(now)
         self.leaving_until = now + LEAVING_SECONDS
         return is_new
 
     def on_pause(self, seconds: float, now: float) -> None:
-        """Take that the endpoint wants nothing from this entry for some seconds."""
+        """Apply the endpoint's request to get no calls from this entry for a while."""
         self.paused_until = max(self.paused_until, now + min(seconds, MAX_PAUSE))
 
     def add_unread(self, request_id: str, call: UnreadCall) -> None:
-        """Count a call that is sent there."""
+        """Add a call that is sent to the endpoint."""
         self.unread[request_id] = call
         self.prefill[call.priority] += call.tokens
 
     def pop_unread(self, request_id: str) -> UnreadCall | None:
-        """Count a call no more, as its first token has come or it has ended."""
+        """Remove a call whose first token has arrived or that has ended."""
         call = self.unread.pop(request_id, None)
         if call is not None:
             self.prefill[call.priority] -= call.tokens
         return call
 
     def tokens_ahead(self, priority: int) -> int:
-        """Return this entry's tokens there that are read before a new call's prompt."""
+        """Return how many tokens of this entry's calls are read before a new call."""
         return sum(
             tokens for level, tokens in self.prefill.items() if level <= priority
         )
 
     def silent_for(self, now: float) -> float:
-        """Return how long something has been owed and no byte has come."""
+        """Return for how long the endpoint has had calls to answer but sent no byte."""
         owed = [call.since for call in self.unread.values()]
         if self.is_streaming():
             owed.append(self.heard_at)
@@ -120,23 +126,23 @@
         return max(0.0, now - max(min(owed), self.heard_at))
 
     def is_streaming(self) -> bool:
-        """Tell whether an answer has begun and not ended."""
+        """Tell whether an answer of the endpoint has begun and not ended."""
         return self.in_flight > len(self.unread)
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether the endpoint owes something and has sent nothing for long."""
+        """Tell whether the endpoint has been silent beyond the applicable limit."""
         limit = STREAM_SILENT_SECONDS if self.is_streaming() else SILENT_SECONDS
         return self.silent_for(now) >= limit
 
     def is_doubted(self, now: float) -> bool:
-        """Tell whether the endpoint should get no work while others can have it."""
+        """Tell whether the endpoint should get calls only if no other one can."""
         if self.is_silent(now):
             self.check_silence(now)
             return True
         return not is_over(self.doubt, self.announced_at, now)
 
     def on_heard(self, now: float) -> None:
-        """Take note that bytes of an answer have come."""
+        """Record that bytes of an answer have arrived."""
         self.heard_at = self.answered_at = now
         if self.doubt.since is not None:
             self.available_since = now
@@ -145,10 +151,10 @@
             self.doubt = on_heard(self.doubt)
 
     def on_unreachable(self, now: float) -> None:
-        """Take note that the endpoint takes no connection, or is silent.
+        """Record that the endpoint accepts no connection, or is silent.
 
-        An idle endpoint that is dark draws the next calls again and again, and a
-        bounded number of ejections does not keep them from it.
+        An unresponsive endpoint looks idle and so attracts further calls. Ejection
+        alone does not prevent that, as the number of ejected endpoints is bounded.
         """
         if self.doubt.since is not None:
             return
@@ -161,14 +167,14 @@
         )
 
     def on_tried(self) -> None:
-        """Take note that a call goes there, doubted or not."""
+        """Record that a call is sent to the endpoint, doubted or not."""
         self.doubt = on_tried(self.doubt)
 
     def check_silence(self, now: float) -> None:
-        """Begin to doubt an endpoint that is silent about first tokens or streams.
+        """Mark the endpoint as doubted if prompts or streams have gone unanswered.
 
-        A plain service may work on one call for longer: it is avoided only while it
-        owes the answer.
+        A service without prompts or streams may work on one call for longer: its
+        endpoint is avoided only until it has answered.
         """
         if not self.is_silent(now):
             return
