--- a/libs/relay/src/clementinebend_relay/endpoints.py
+++ b/libs/relay/src/clementinebend_relay/endpoints.py
@@ -187,12 +187,12 @@
             log_decision("endpoint refused", endpoint=name, problem=problem)
         state = self.states.get(name)
         if state is not None:
-            self.drop(state, "its announcement cannot be used")
+            self.drop(state, "its announcement is invalid")
 
     def _put(self, endpoint: Endpoint) -> None:
         state = self.states.get(endpoint.name)
         if state is not None and state.endpoint.boot != endpoint.boot:
-            self.drop(state, "it has started again")
+            self.drop(state, "it restarted")
             state = None
         if state is None:
             self._drop_predecessors(endpoint)
@@ -246,7 +246,7 @@
             if state.lapsed_at is not None and now > state.lapsed_at + LAPSED_SECONDS
         ]
         for state in gone:
-            self.drop(state, "its announcement is gone")
+            self.drop(state, "its announcement expired")
 
     def _may_eject(self, service: str, now: float) -> bool:
         states = self._states_of(service)
