--- a/libs/relay/src/clementinebend_relay/evacuations.py
+++ b/libs/relay/src/clementinebend_relay/evacuations.py
@@ -22,7 +22,7 @@
 """Entries, chosen at random, to which each entry forwards a change: it spreads
 through the fleet in a few rounds, and datagrams per entry do not grow with its size."""
 
-REPEAT_PAUSES = (0.0, 1.0)
+REPEAT_DELAYS = (0.0, 1.0)
 """Seconds after which a change is sent, and sent again, as datagrams may be lost."""
 
 MAX_ZONE_NAME_LENGTH = 200
@@ -113,7 +113,7 @@
         evacuated_zones.set(len(self.zones()))
         self.on_change(zone, status.is_evacuated)
         loop = get_running_loop()
-        for pause in REPEAT_PAUSES:
+        for pause in REPEAT_DELAYS:
             loop.call_later(pause, self._send_status, zone)
 
     def _send_status(self, zone: str) -> None:
--- a/libs/relay/src/clementinebend_relay/quarantine_news.py
+++ b/libs/relay/src/clementinebend_relay/quarantine_news.py
@@ -35,7 +35,7 @@
 from clementinebend_routing.fatal_runs import FatalRun
 from clementinebend_transport.client_connection import Address
 
-REPEAT_PAUSES = (0.0, 0.3, 1.0)
+REPEAT_DELAYS = (0.0, 0.3, 1.0)
 """Seconds after which a datagram is sent, and sent again: one that is lost is made good
 before the next repetitions of a request have ended many endpoints."""
 
@@ -216,7 +216,7 @@
     def _repeat(self, make: Callable[[], Message | None]) -> None:
         """Send a message several times, made anew each time, unless it is void."""
         loop = get_running_loop()
-        for pause in REPEAT_PAUSES:
+        for pause in REPEAT_DELAYS:
             loop.call_later(pause, self._send, make)
 
     def _send(self, make: Callable[[], Message | None]) -> None:
