--- a/libs/relay/src/clementinebend_relay/evacuations.py
+++ b/libs/relay/src/clementinebend_relay/evacuations.py
@@ -23,7 +23,7 @@
 through the fleet in a few rounds, and datagrams per entry do not grow with its size."""
 
 REPEAT_DELAYS = (0.0, 1.0)
-"""Seconds after which a change is sent, and sent again, as datagrams may be lost."""
+"""Delays in seconds after which a change is sent; twice, as datagrams may be lost."""
 
 MAX_ZONE_NAME_LENGTH = 200
 """Longest zone name, in characters, that is accepted in a datagram."""
