--- a/libs/relay/src/clementinebend_relay/following.py
+++ b/libs/relay/src/clementinebend_relay/partition_reader.py
@@ -41,7 +41,7 @@
 
 
 class Table(Protocol):
-    """What keeps the records that a follower reads."""
+    """What keeps the records that a reader reads."""
 
     def on_record(self, record: KeyedRecord) -> None:
         """Take a record."""
@@ -68,7 +68,7 @@
             table.on_snapshot(keys, end)
 
 
-class Follower:
+class PartitionReader:
     """Reads one partition for ever; the task that runs it owns its state.
 
     The table takes each record, oldest first, and after those of a fresh start
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -18,13 +18,17 @@
 from clementinebend_relay.end_detector import EndDetector
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.evacuations import Evacuations
-from clementinebend_relay.following import DIRECTORY_WITHIN, CombinedTable, Follower
 from clementinebend_relay.handler import CallHandler
 from clementinebend_relay.interfaces import HttpProtocol, Logs, Records
 from clementinebend_relay.leaving_news import LeavingNews
 from clementinebend_relay.mark_keeper import MarkKeeper
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import Configuration
+from clementinebend_relay.partition_reader import (
+    DIRECTORY_WITHIN,
+    CombinedTable,
+    PartitionReader,
+)
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.plain import PlainRelay
 from clementinebend_relay.quarantine import Quarantine
@@ -117,15 +121,15 @@
         self.evacuations = Evacuations(
             boot, records, self.entries, self._send_all, self.endpoints.on_evacuation
         )
-        self.followers = (
-            Follower(
+        self.readers = (
+            PartitionReader(
                 "configuration",
                 logs.configuration,
                 CombinedTable((self.evacuations, self.configuration)),
                 clock,
                 min(settings.change_within, settings.evacuation_within),
             ),
-            Follower(
+            PartitionReader(
                 "endpoints",
                 logs.endpoints,
                 self.endpoints,
@@ -133,12 +137,18 @@
                 settings.leaving_within,
                 is_busy=True,
             ),
-            Follower("entries", logs.entries, self.entries, clock, DIRECTORY_WITHIN),
-            Follower("gateways", logs.gateways, self.gateways, clock, DIRECTORY_WITHIN),
-            Follower("quarantine", logs.quarantine, self.news, clock, DIRECTORY_WITHIN),
+            PartitionReader(
+                "entries", logs.entries, self.entries, clock, DIRECTORY_WITHIN
+            ),
+            PartitionReader(
+                "gateways", logs.gateways, self.gateways, clock, DIRECTORY_WITHIN
+            ),
+            PartitionReader(
+                "quarantine", logs.quarantine, self.news, clock, DIRECTORY_WITHIN
+            ),
         )
         self.budgets.is_store_lost = lambda: any(
-            follower.lost_at is not None for follower in self.followers
+            reader.lost_at is not None for reader in self.readers
         )
         self.dispatcher = Dispatcher(
             settings.zone,
@@ -170,14 +180,14 @@
 
     def jobs(self) -> list[Coroutine[Any, Any, None]]:
         """Return what runs for ever."""
-        followers = [follower.run() for follower in self.followers]
+        readers = [reader.run() for reader in self.readers]
         keepers = [self._keep(keeper) for keeper in self.budgets.keepers]
         settings = self.settings
         own = Announcement(
             self.boot, settings.zone, *settings.peers, cores=settings.cores
         )
         return [
-            *followers,
+            *readers,
             *keepers,
             announce(self.logs.entries, self.settings.name, own),
             self.peers.watch(),
--- a/tests/unit/platform/test_store_pages.py
+++ b/tests/unit/platform/test_store_pages.py
@@ -6,7 +6,7 @@
 from clementinebend_platform_client.keyed_log import KeyedRecord
 from clementinebend_platform_client.store_calls import StoreCalls
 from clementinebend_platform_client.store_paths import StorePaths
-from clementinebend_relay.following import Follower
+from clementinebend_relay.partition_reader import PartitionReader
 from clementinebend_transport.client_connection import Address
 from clementinebend_transport.http_client import HttpClient
 from tests.lib.platform_store import PAGE_KEYS, StoreStandin
@@ -42,10 +42,12 @@
     calls = StoreCalls(StorePaths(Address("127.0.0.1", store.port), clock), client)
     table = Table()
     log = PartitionLog(calls, "servers")
-    following = create_task(Follower("endpoints", log, table, clock, WITHIN).run())
+    partition_reader = create_task(
+        PartitionReader("endpoints", log, table, clock, WITHIN).run()
+    )
     await until(lambda: len(table.known) == KEYS)
     store.put("servers", "e-0000", b"new")
     await until(lambda: table.records["e-0000"] == b"new")
-    following.cancel()
+    partition_reader.cancel()
     await client.close()
     await store.stop()
--- a/tests/unit/relay/quarantine_world.py
+++ b/tests/unit/relay/quarantine_world.py
@@ -9,9 +9,9 @@
 from clementinebend_records.identifiers import Incarnation, new_incarnation
 from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.end_detector import EndedRun
-from clementinebend_relay.following import DIRECTORY_WITHIN, Follower
 from clementinebend_relay.messages import Message, decoded, encoded
 from clementinebend_relay.models import Endpoint, boot_name
+from clementinebend_relay.partition_reader import DIRECTORY_WITHIN, PartitionReader
 from clementinebend_relay.quarantine import Quarantine
 from clementinebend_relay.quarantine_news import QuarantineNews
 from clementinebend_routing.fatal_runs import FatalRun
@@ -42,10 +42,10 @@
         self.news = QuarantineNews(
             self.boot, self.quarantine, self.directory, log, world.send_all, clock
         )
-        follower = Follower("quarantine", log, self.news, clock, DIRECTORY_WITHIN)
+        reader = PartitionReader("quarantine", log, self.news, clock, DIRECTORY_WITHIN)
         self.tasks: list[Task[None]] = [
             create_task(self.news.run()),
-            create_task(follower.run()),
+            create_task(reader.run()),
         ]
 
     def end(self) -> None:
--- a/tests/unit/relay/test_following.py
+++ b/tests/unit/relay/test_following.py
@@ -7,7 +7,7 @@
 
 from clementinebend_bench.models.virtual_loop import run_virtually
 from clementinebend_platform_client.keyed_log import KeyedRecord, Page
-from clementinebend_relay.following import BATCH_PART, WAIT_PART, Follower
+from clementinebend_relay.partition_reader import BATCH_PART, WAIT_PART, PartitionReader
 from tests.unit.relay.mark_world import FakeLog
 
 WITHIN = 4.0
@@ -55,8 +55,8 @@
     """Return the reads of a minute, and the longest time until one was known."""
     loop = get_running_loop()
     log, table = WaitingLog(), Table()
-    follower = Follower("f", log, table, loop.time, WITHIN, is_busy)
-    running = create_task(follower.run())
+    reader = PartitionReader("f", log, table, loop.time, WITHIN, is_busy)
+    running = create_task(reader.run())
     await sleep(0)
     written_at: list[float] = []
     while loop.time() < SECONDS:
--- a/tests/unit/relay/test_starting_together.py
+++ b/tests/unit/relay/test_starting_together.py
@@ -12,7 +12,11 @@
     StoreFailure,
 )
 from clementinebend_platform_client.store_paths import StorePaths
-from clementinebend_relay.following import MOST_PATIENCE, Follower, patience_after
+from clementinebend_relay.partition_reader import (
+    MOST_PATIENCE,
+    PartitionReader,
+    patience_after,
+)
 from clementinebend_transport.client_connection import Address
 from tests.unit.relay.mark_world import FakeLog
 
@@ -81,7 +85,7 @@
     clock = get_running_loop().time
     tables = [Table() for _ in range(entries)]
     running = [
-        create_task(Follower("f", BusyLog(store), table, clock, WITHIN).run())
+        create_task(PartitionReader("f", BusyLog(store), table, clock, WITHIN).run())
         for table in tables
     ]
     await sleep(seconds)
