--- a/libs/relay/src/clementinebend_relay/partition_reader.py
+++ b/libs/relay/src/clementinebend_relay/partition_reader.py
@@ -14,29 +14,29 @@
 from clementinebend_platform_client.newest_records import NewestRecords
 from clementinebend_relay.decisions import log_dependency
 
-WAIT_PART = 0.5
+WAIT_FRACTION = 0.5
 """Part of the time within which a change must act that a read waits for a record: a
 record ends the wait at once, and a connection that went silent is noticed after it."""
 
-BATCH_PART = 0.2
+BATCH_FRACTION = 0.2
 """Part of that time between reads of a partition that many write to: 54 endpoints that
 announce themselves each 1.2 s would else make 45 reads a second of each entry. Five
 reads may fail before an endpoint that leaves gets a call too many."""
 
-DIRECTORY_WITHIN = 8.0
+DIRECTORY_MAX_DELAY = 8.0
 """Seconds within which an entry or gateway that was added must be known: one that is
 gone is noticed by what it leaves unanswered."""
 
-RETRY_PAUSE = 0.25
+RETRY_DELAY = 0.25
 """Seconds after a failed read, as often as the store's limit of reads allows."""
 
-FIRST_PATIENCE = 0.7
+PATIENCE_STEP = 0.7
 """Seconds that an answer with all newest records may begin later than usual after a
 first failure, and as much again after each further one. When many entries start at
 once the store takes seconds for their first reads, and calls given up early only add
 to its work."""
 
-MOST_PATIENCE = 1.4
+MAX_PATIENCE = 1.4
 """The longest of it: a store that is back after a silent outage is noticed after it."""
 
 
@@ -72,7 +72,7 @@
     """Reads one partition for ever; the task that runs it owns its state.
 
     The table takes each record, oldest first, and after those of a fresh start
-    the names of all keys there are. What is written must be known ``within`` some
+    the names of all keys there are. What is written must be known ``max_delay``
     seconds. With ``is_busy`` many write there, and what they write is read together.
     """
 
@@ -82,11 +82,11 @@
         log: KeyedLog,
         table: Table,
         clock: Callable[[], float],
-        within: float,
+        max_delay: float,
         is_busy: bool = False,
     ) -> None:
-        self.wait = WAIT_PART * within
-        self.pause = BATCH_PART * within if is_busy else 0.0
+        self.wait = WAIT_FRACTION * max_delay
+        self.pause = BATCH_FRACTION * max_delay if is_busy else 0.0
         self.name = name
         self.log = log
         self.newest = NewestRecords(log, clock)
@@ -114,16 +114,16 @@
             is_snapshot = False
         match outcome:
             case Page():
-                self._take(outcome, is_snapshot)
+                self._apply_page(outcome, is_snapshot)
                 if outcome.records and self.pause:
                     await sleep(self.pause)
             case RecordsDropped():
                 self.offset = None
             case StoreFailure():
-                self._lose(outcome)
-                await sleep(RETRY_PAUSE)
+                self._on_failure(outcome)
+                await sleep(RETRY_DELAY)
 
-    def _take(self, page: Page, is_snapshot: bool) -> None:
+    def _apply_page(self, page: Page, is_snapshot: bool) -> None:
         self.read_at = self.clock()
         self.failures = 0
         if self.lost_at is not None:
@@ -137,7 +137,7 @@
             self.table.on_snapshot(names, page.next_offset)
         self.offset = page.next_offset
 
-    def _lose(self, failure: StoreFailure) -> None:
+    def _on_failure(self, failure: StoreFailure) -> None:
         self.failures += 1
         if self.lost_at is None:
             self.lost_at = self.clock()
@@ -146,4 +146,4 @@
 
 def patience_after(failures: int) -> float:
     """Return the seconds that the next answer may begin late, after some failures."""
-    return min(MOST_PATIENCE, failures * FIRST_PATIENCE)
+    return min(MAX_PATIENCE, failures * PATIENCE_STEP)
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -25,7 +25,7 @@
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import Configuration
 from clementinebend_relay.partition_reader import (
-    DIRECTORY_WITHIN,
+    DIRECTORY_MAX_DELAY,
     CombinedTable,
     PartitionReader,
 )
@@ -138,13 +138,13 @@
                 is_busy=True,
             ),
             PartitionReader(
-                "entries", logs.entries, self.entries, clock, DIRECTORY_WITHIN
+                "entries", logs.entries, self.entries, clock, DIRECTORY_MAX_DELAY
             ),
             PartitionReader(
-                "gateways", logs.gateways, self.gateways, clock, DIRECTORY_WITHIN
+                "gateways", logs.gateways, self.gateways, clock, DIRECTORY_MAX_DELAY
             ),
             PartitionReader(
-                "quarantine", logs.quarantine, self.news, clock, DIRECTORY_WITHIN
+                "quarantine", logs.quarantine, self.news, clock, DIRECTORY_MAX_DELAY
             ),
         )
         self.budgets.is_store_lost = lambda: any(
--- a/tests/unit/relay/quarantine_world.py
+++ b/tests/unit/relay/quarantine_world.py
@@ -11,7 +11,7 @@
 from clementinebend_relay.end_detector import EndedRun
 from clementinebend_relay.messages import Message, decoded, encoded
 from clementinebend_relay.models import Endpoint, boot_name
-from clementinebend_relay.partition_reader import DIRECTORY_WITHIN, PartitionReader
+from clementinebend_relay.partition_reader import DIRECTORY_MAX_DELAY, PartitionReader
 from clementinebend_relay.quarantine import Quarantine
 from clementinebend_relay.quarantine_news import QuarantineNews
 from clementinebend_routing.fatal_runs import FatalRun
@@ -42,7 +42,9 @@
         self.news = QuarantineNews(
             self.boot, self.quarantine, self.directory, log, world.send_all, clock
         )
-        reader = PartitionReader("quarantine", log, self.news, clock, DIRECTORY_WITHIN)
+        reader = PartitionReader(
+            "quarantine", log, self.news, clock, DIRECTORY_MAX_DELAY
+        )
         self.tasks: list[Task[None]] = [
             create_task(self.news.run()),
             create_task(reader.run()),
--- a/tests/unit/relay/test_following.py
+++ b/tests/unit/relay/test_following.py
@@ -7,7 +7,11 @@
 
 from clementinebend_bench.models.virtual_loop import run_virtually
 from clementinebend_platform_client.keyed_log import KeyedRecord, Page
-from clementinebend_relay.partition_reader import BATCH_PART, WAIT_PART, PartitionReader
+from clementinebend_relay.partition_reader import (
+    BATCH_FRACTION,
+    WAIT_FRACTION,
+    PartitionReader,
+)
 from tests.unit.relay.mark_world import FakeLog
 
 WITHIN = 4.0
@@ -75,12 +79,12 @@
 @pytest.mark.parametrize("writers", [0, 4, 54, 400])
 def test_reads_do_not_grow_with_those_that_write(writers: int) -> None:
     reads, lag = run_virtually(follow(writers, is_busy=True))
-    assert reads <= (SECONDS + WITHIN) / (BATCH_PART * WITHIN) + 2
+    assert reads <= (SECONDS + WITHIN) / (BATCH_FRACTION * WITHIN) + 2
     assert lag <= WITHIN / 2
 
 
 def test_where_little_is_written_a_record_is_known_at_once() -> None:
     reads, lag = run_virtually(follow(0, is_busy=False))
-    assert reads <= (SECONDS + WITHIN) / (WAIT_PART * WITHIN) + 2
+    assert reads <= (SECONDS + WITHIN) / (WAIT_FRACTION * WITHIN) + 2
     reads, lag = run_virtually(follow(1, is_busy=False))
     assert lag == 0.0
--- a/tests/unit/relay/test_starting_together.py
+++ b/tests/unit/relay/test_starting_together.py
@@ -13,7 +13,7 @@
 )
 from clementinebend_platform_client.store_paths import StorePaths
 from clementinebend_relay.partition_reader import (
-    MOST_PATIENCE,
+    MAX_PATIENCE,
     PartitionReader,
     patience_after,
 )
@@ -108,5 +108,5 @@
 
 def test_patience_is_bounded() -> None:
     assert patience_after(0) == 0.0
-    assert 0.0 < patience_after(1) < MOST_PATIENCE
-    assert patience_after(1000) == MOST_PATIENCE
+    assert 0.0 < patience_after(1) < MAX_PATIENCE
+    assert patience_after(1000) == MAX_PATIENCE
