--- a/libs/relay/src/clementinebend_relay/partition_reader.py
+++ b/libs/relay/src/clementinebend_relay/partition_reader.py
@@ -1,4 +1,7 @@
-"""Follows a partition of the store: first the newest of each key, then all."""
+"""Reads a partition of the store into a table, continuously.
+
+It starts with a snapshot of the newest record of each key, then reads every record.
+"""
 
 from asyncio import sleep
 from collections.abc import Callable
@@ -15,40 +18,42 @@
 from clementinebend_relay.decisions import log_dependency
 
 WAIT_FRACTION = 0.5
-"""Part of the time within which a change must act that a read waits for a record: a
-record ends the wait at once, and a connection that went silent is noticed after it."""
+"""Fraction of the maximum delay for which a read waits for a record. A record ends the
+wait at once; a connection that has stopped responding is noticed after the wait."""
 
 BATCH_FRACTION = 0.2
-"""Part of that time between reads of a partition that many write to: 54 endpoints that
-announce themselves each 1.2 s would else make 45 reads a second of each entry. Five
-reads may fail before an endpoint that leaves gets a call too many."""
+"""Fraction of the maximum delay between reads of a partition with many writers. Without
+this pause, 54 endpoints that announce themselves every 1.2 s would cause 45 reads a
+second by each entry. Up to five reads may fail before a leaving endpoint gets a call
+too many."""
 
 DIRECTORY_MAX_DELAY = 8.0
-"""Seconds within which an entry or gateway that was added must be known: one that is
-gone is noticed by what it leaves unanswered."""
+"""Maximum delay in seconds until an added entry or gateway is known. One that has
+stopped is noticed sooner, by its unanswered messages."""
 
 RETRY_DELAY = 0.25
-"""Seconds after a failed read, as often as the store's limit of reads allows."""
+"""Seconds before a failed read is retried; the store's limit on reads allows no more
+frequent ones."""
 
 PATIENCE_STEP = 0.7
-"""Seconds that an answer with all newest records may begin later than usual after a
-first failure, and as much again after each further one. When many entries start at
-once the store takes seconds for their first reads, and calls given up early only add
-to its work."""
+"""Seconds by which the timeout of a snapshot read is extended after each failure. When
+many entries start at once the store takes seconds for their first reads, and reads that
+are given up early only add to its load."""
 
 MAX_PATIENCE = 1.4
-"""The longest of it: a store that is back after a silent outage is noticed after it."""
+"""Upper limit in seconds of that extension: it delays the detection of a store that is
+available again after an outage without error responses."""
 
 
 class Table(Protocol):
-    """What keeps the records that a reader reads."""
+    """Receiver of the records that a reader reads."""
 
     def on_record(self, record: KeyedRecord) -> None:
-        """Take a record."""
+        """Apply a record."""
         ...
 
     def on_snapshot(self, keys: frozenset[str], end: int) -> None:
-        """Take the names of all keys, and the log's end."""
+        """Apply the names of all keys as of the log's ``end``."""
         ...
 
 
@@ -69,11 +74,11 @@
 
 
 class PartitionReader:
-    """Reads one partition for ever; the task that runs it owns its state.
+    """Reads one partition forever; the task that runs it owns its state.
 
-    The table takes each record, oldest first, and after those of a fresh start
-    the names of all keys there are. What is written must be known ``max_delay``
-    seconds. With ``is_busy`` many write there, and what they write is read together.
+    The table gets each record, oldest first, and after the records of a snapshot the
+    names of all keys. A record must reach the table within ``max_delay`` seconds. With
+    ``is_busy`` the partition has many writers, and records are read in batches.
     """
 
     def __init__(
@@ -98,7 +103,7 @@
         self.failures = 0
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Read forever."""
         while True:
             await self.step()
 
@@ -145,5 +150,5 @@
 
 
 def patience_after(failures: int) -> float:
-    """Return the seconds that the next answer may begin late, after some failures."""
+    """Return the extension of the timeout, in seconds, after some failures in a row."""
     return min(MAX_PATIENCE, failures * PATIENCE_STEP)
