--- a/libs/relay/src/clementinebend_relay/gateway.py
+++ b/libs/relay/src/clementinebend_relay/gateway.py
@@ -30,11 +30,11 @@
 from clementinebend_transport.client_connection import Address
 from clementinebend_transport.lifecycle import EXIT_OK
 
-PIECE_BYTES = 64 * 1024
-CONNECT_SECONDS = 0.4
+CHUNK_BYTES = 64 * 1024
+CONNECT_TIMEOUT = 0.4
 """Time for a connection to the store, some hundred round trips."""
 
-IDLE_SECONDS = 20.0
+IDLE_TIMEOUT = 20.0
 """How long a connection may carry nothing; entries' reads wait a few seconds."""
 
 logger = getLogger(__name__)
@@ -48,17 +48,17 @@
 
     def __init__(self, store: Address) -> None:
         self.store = store
-        self.serving: set[Task[None]] = set()
+        self.connections: set[Task[None]] = set()
 
     def accept(self, reader: StreamReader, writer: StreamWriter) -> None:
         """Serve a connection in a task of its own, which ``close`` ends."""
         task = create_task(self.serve(reader, writer))
-        self.serving.add(task)
-        task.add_done_callback(self.serving.discard)
+        self.connections.add(task)
+        task.add_done_callback(self.connections.discard)
 
     async def close(self) -> None:
         """End all connections."""
-        tasks = tuple(self.serving)
+        tasks = tuple(self.connections)
         for task in tasks:
             task.cancel()
         await gather(*tasks, return_exceptions=True)
@@ -66,38 +66,38 @@
     async def serve(self, reader: StreamReader, writer: StreamWriter) -> None:
         """Pass bytes both ways until one side ends."""
         try:
-            async with timeout(CONNECT_SECONDS):
+            async with timeout(CONNECT_TIMEOUT):
                 store_reader, store_writer = await open_connection(*self.store)
         except (OSError, TimeoutError) as error:
             logger.warning("store not reached", extra={"problem": str(error)})
             writer.transport.abort()
             return
-        ways = (
-            create_task(_pass_on(reader, store_writer)),
-            create_task(_pass_on(store_reader, writer)),
+        copy_tasks = (
+            create_task(_copy(reader, store_writer)),
+            create_task(_copy(store_reader, writer)),
         )
         try:
-            await wait(ways, return_when=FIRST_COMPLETED)
+            await wait(copy_tasks, return_when=FIRST_COMPLETED)
         finally:
-            for way in ways:
-                way.cancel()
+            for copy_task in copy_tasks:
+                copy_task.cancel()
             writer.transport.abort()
             store_writer.transport.abort()
 
 
-async def _pass_on(reader: StreamReader, writer: StreamWriter) -> None:
+async def _copy(reader: StreamReader, writer: StreamWriter) -> None:
     """Copy until the end, or until nothing comes for too long."""
     with suppress(OSError, TimeoutError):
         while True:
-            async with timeout(IDLE_SECONDS):
-                piece = await reader.read(PIECE_BYTES)
-            if not piece:
+            async with timeout(IDLE_TIMEOUT):
+                chunk = await reader.read(CHUNK_BYTES)
+            if not chunk:
                 return
-            writer.write(piece)
+            writer.write(chunk)
             await writer.drain()
 
 
-async def _open_desk(boot: str, address: Address) -> DatagramSocket:
+async def _open_queue_socket(boot: str, address: Address) -> DatagramSocket:
     """Return a socket at which entries' words about queues are taken."""
 
     def send(message: Message, to: Address) -> None:
@@ -105,11 +105,11 @@
 
     desk = QueueDesk(boot, send, get_running_loop().time)
 
-    def take(message: Message, sender: Address) -> None:
+    def receive(message: Message, sender: Address) -> None:
         if isinstance(message, QueueMessage):
             desk.on_message(message, sender)
 
-    socket = await open_socket(address, take)
+    socket = await open_socket(address, receive)
     return socket
 
 
@@ -123,8 +123,8 @@
     stop: Event,
 ) -> int:
     """Serve until ``stop`` is set; return the exit code."""
-    server = await start_server(gateway.accept, *address, limit=PIECE_BYTES)
-    socket = await _open_desk(boot, address)
+    server = await start_server(gateway.accept, *address, limit=CHUNK_BYTES)
+    socket = await _open_queue_socket(boot, address)
     logger.info("started", extra={"gateway": name})
     discovery = create_task(announce(log, name, Announcement(boot, zone, *address)))
     await stop.wait()
