--- a/libs/relay/src/clementinebend_relay/gateway.py
+++ b/libs/relay/src/clementinebend_relay/gateway.py
@@ -1,8 +1,8 @@
-"""The gateway process: passes bytes to the store, and keeps endpoints' queues.
+"""The gateway process: a TCP proxy to the store that also tracks endpoints' queues.
 
-An entry that is cut off from the store alone reaches it through a gateway on
-another host. The gateway reads nothing of what it passes on. Beside that it keeps the
-queue of the endpoint on its host for all entries.
+An entry that has lost only its own connection to the store reaches the store through a
+gateway on another host. The gateway does not interpret the bytes that it forwards. It
+also tracks the queue of the endpoint on its host on behalf of all entries.
 """
 
 from asyncio import (
@@ -32,18 +32,19 @@
 
 CHUNK_BYTES = 64 * 1024
 CONNECT_TIMEOUT = 0.4
-"""Time for a connection to the store, some hundred round trips."""
+"""Timeout in seconds for a connection to the store, about a hundred round trips."""
 
 IDLE_TIMEOUT = 20.0
-"""How long a connection may carry nothing; entries' reads wait a few seconds."""
+"""Seconds after which a connection without data is closed; entries' reads wait a few
+seconds for records."""
 
 logger = getLogger(__name__)
 
 
 class Gateway:
-    """Connections from entries, each with its own to the store.
+    """Forwards each connection from an entry over a connection of its own to the store.
 
-    ``store`` may change; connections that are open stay as they are.
+    ``store`` may change; open connections are not affected.
     """
 
     def __init__(self, store: Address) -> None:
@@ -51,20 +52,20 @@
         self.connections: set[Task[None]] = set()
 
     def accept(self, reader: StreamReader, writer: StreamWriter) -> None:
-        """Serve a connection in a task of its own, which ``close`` ends."""
+        """Serve a connection in a separate task, which ``close`` cancels."""
         task = create_task(self.serve(reader, writer))
         self.connections.add(task)
         task.add_done_callback(self.connections.discard)
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         tasks = tuple(self.connections)
         for task in tasks:
             task.cancel()
         await gather(*tasks, return_exceptions=True)
 
     async def serve(self, reader: StreamReader, writer: StreamWriter) -> None:
-        """Pass bytes both ways until one side ends."""
+        """Copy bytes in both directions until one side closes its connection."""
         try:
             async with timeout(CONNECT_TIMEOUT):
                 store_reader, store_writer = await open_connection(*self.store)
@@ -86,7 +87,7 @@
 
 
 async def _copy(reader: StreamReader, writer: StreamWriter) -> None:
-    """Copy until the end, or until nothing comes for too long."""
+    """Copy until the end of the stream, a connection error or the idle timeout."""
     with suppress(OSError, TimeoutError):
         while True:
             async with timeout(IDLE_TIMEOUT):
@@ -98,7 +99,7 @@
 
 
 async def _open_queue_socket(boot: str, address: Address) -> DatagramSocket:
-    """Return a socket at which entries' words about queues are taken."""
+    """Return a socket that receives entries' messages about queues."""
 
     def send(message: Message, to: Address) -> None:
         socket.send(message, to)
