--- a/libs/bench/src/clementinebend_bench/experiments/choice.py
+++ b/libs/bench/src/clementinebend_bench/experiments/choice.py
@@ -19,7 +19,7 @@
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.interfaces import HttpProtocol
-from clementinebend_relay.leaving_news import LeavingNews
+from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import (
     Call,
@@ -107,7 +107,7 @@
         RetryLimits(0.2, 50, 10),
         quarantine,
         EndDetector(monotonic, quarantine.running, lambda endpoint, runs: None),
-        LeavingNews(boot, table, directory, _send_all),
+        LeavingNotifier(boot, table, directory, _send_all),
         monotonic,
     )
 
--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -15,7 +15,7 @@
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.evacuations import Evacuations
 from clementinebend_relay.interfaces import Unusable
-from clementinebend_relay.leaving_news import LeavingNews
+from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import CallerLimits, Configuration, Team
 from clementinebend_relay.peers import Peers
@@ -89,7 +89,7 @@
         )
         cold = ColdEndpoints(self.name, self.directory, clock)
         table = EndpointTable(NoRecords(), cold, clock)
-        self.leaving = LeavingNews(self.boot, table, self.directory, self.send_all)
+        self.leaving = LeavingNotifier(self.boot, table, self.directory, self.send_all)
         self.evacuations = Evacuations(
             self.boot,
             NoRecords(),
--- a/libs/relay/src/clementinebend_relay/dispatch.py
+++ b/libs/relay/src/clementinebend_relay/dispatch.py
@@ -18,7 +18,7 @@
     Notice,
     Verdict,
 )
-from clementinebend_relay.leaving_news import LeavingNews
+from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.models import Endpoint, boot_name
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.quarantine import Quarantine
@@ -78,7 +78,7 @@
         retry_limits: RetryLimits,
         quarantine: Quarantine,
         ends: EndDetector,
-        leaving: LeavingNews,
+        leaving: LeavingNotifier,
         clock: Callable[[], float],
     ) -> None:
         self.endpoints = endpoints
--- a/libs/relay/src/clementinebend_relay/leaving_news.py
+++ b/libs/relay/src/clementinebend_relay/leaving_notifier.py
@@ -14,7 +14,7 @@
 from clementinebend_transport.client_connection import Address
 
 
-class LeavingNews:
+class LeavingNotifier:
     """Takes the word of endpoints and of other entries."""
 
     def __init__(
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -20,7 +20,7 @@
 from clementinebend_relay.evacuations import Evacuations
 from clementinebend_relay.handler import CallHandler
 from clementinebend_relay.interfaces import HttpProtocol, Logs, Records
-from clementinebend_relay.leaving_news import LeavingNews
+from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.mark_keeper import MarkKeeper
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import Configuration
@@ -117,7 +117,9 @@
         self.news = QuarantineNews(
             boot, quarantine, self.entries, logs.quarantine, self._send_all, clock
         )
-        self.leaving = LeavingNews(boot, self.endpoints, self.entries, self._send_all)
+        self.leaving = LeavingNotifier(
+            boot, self.endpoints, self.entries, self._send_all
+        )
         self.evacuations = Evacuations(
             boot, records, self.entries, self._send_all, self.endpoints.on_evacuation
         )
--- a/libs/relay/src/clementinebend_relay/receiving.py
+++ b/libs/relay/src/clementinebend_relay/receiving.py
@@ -1,7 +1,7 @@
 """Where a datagram goes that has come."""
 
 from clementinebend_relay.evacuations import Evacuations
-from clementinebend_relay.leaving_news import LeavingNews
+from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.messages import (
     AskMessage,
     AttestationMessage,
@@ -37,7 +37,7 @@
     probes: QueueProbes,
     queues: QueueDesk,
     news: QuarantineNews,
-    leaving: LeavingNews,
+    leaving: LeavingNotifier,
     evacuations: Evacuations,
 ) -> None:
     """Hand a message from ``sender`` to the part of the entry that it is for."""
@@ -68,7 +68,7 @@
 def _receive_of_endpoints(
     message: FatalityMessage | EndpointLeavingMessage,
     news: QuarantineNews,
-    leaving: LeavingNews,
+    leaving: LeavingNotifier,
 ) -> None:
     """Hand on what another entry has heard or seen of endpoints."""
     if isinstance(message, EndpointLeavingMessage):
