--- a/libs/relay/src/clementinebend_relay/leaving_notifier.py
+++ b/libs/relay/src/clementinebend_relay/leaving_notifier.py
@@ -1,7 +1,7 @@
-"""How entries tell one another that an endpoint has said that it leaves.
+"""Notifies other entries that an endpoint is leaving.
 
-Costs a datagram for each entry, once for each boot of an endpoint that leaves; one that
-is lost is made good by the endpoint's next answer there.
+Each entry is sent one datagram for each boot of a leaving endpoint. An entry that
+misses it learns the same from the endpoint's next answer.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,7 +15,7 @@
 
 
 class LeavingNotifier:
-    """Takes the word of endpoints and of other entries."""
+    """Marks endpoints as leaving, and notifies the other entries."""
 
     def __init__(
         self,
@@ -30,12 +30,12 @@
         self.send_all = send_all
 
     def on_leaving(self, state: EndpointState) -> None:
-        """Take an endpoint's own word, and tell of it if it is new."""
+        """Mark an endpoint as leaving; notify the other entries if that is new."""
         if self.endpoints.on_leaving(state):
             message = EndpointLeavingMessage(self.boot, boot_name(state.endpoint))
             self.send_all(message, self.directory.others(self.boot))
 
     def on_message(self, message: EndpointLeavingMessage) -> None:
-        """Take another entry's word; of a process that is none, nothing."""
+        """Apply another entry's message; ignore those of unknown processes."""
         if self.directory.is_announced(message.boot):
             self.endpoints.on_reported_leaving(message.endpoint)
