--- a/libs/relay/src/clementinebend_relay/handler.py
+++ b/libs/relay/src/clementinebend_relay/handler.py
@@ -12,9 +12,9 @@
 from clementinebend_relay.interfaces import HttpProtocol
 from clementinebend_relay.mark_view import Short
 from clementinebend_relay.metrics import (
-    answered,
     first_byte_seconds,
-    refused,
+    rejected_calls,
+    relayed_answers,
     whole_seconds,
 )
 from clementinebend_relay.models import Reason, Rejection, RouteKind
@@ -139,7 +139,7 @@
             rejection = progress.rejection(self.clock())
             return self._reject(rejection, admitted.call.request_id, arrived)
         first_byte_seconds.labels(admitted.service.name).observe(self.clock() - arrived)
-        answered.labels(admitted.service.name, response.status).inc()
+        relayed_answers.labels(admitted.service.name, response.status).inc()
         return response
 
     async def _answer(
@@ -185,7 +185,7 @@
     def _reject(
         self, rejection: Rejection, request_id: str, arrived: float
     ) -> Response:
-        refused.labels(rejection.reason).inc()
+        rejected_calls.labels(rejection.reason).inc()
         log_decision(
             "call rejected",
             request_id=request_id,
--- a/libs/relay/src/clementinebend_relay/metrics.py
+++ b/libs/relay/src/clementinebend_relay/metrics.py
@@ -5,12 +5,12 @@
 LATENCY_BUCKETS = (0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.6, 0.8, 1.0, 2.0, 5.0, 15.0)
 """Upper bounds in seconds, dense around latency targets of 0.15 to 0.6 s."""
 
-answered = counter(
+relayed_answers = counter(
     "clementinebend_relay_answers_total",
     "Answers of endpoints relayed, by service and status.",
     ("service", "status"),
 )
-refused = counter(
+rejected_calls = counter(
     "clementinebend_relay_rejections_total",
     "Calls that ended without an endpoint's answer, by reason.",
     ("reason",),
