--- a/libs/relay/src/clementinebend_relay/metrics.py
+++ b/libs/relay/src/clementinebend_relay/metrics.py
@@ -1,9 +1,10 @@
-"""Counters and latency histograms of the direct path."""
+"""Counters, gauges and latency histograms of the relay."""
 
 from clementinebend_transport.metrics import counter, gauge, histogram
 
 LATENCY_BUCKETS = (0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.6, 0.8, 1.0, 2.0, 5.0, 15.0)
-"""Upper bounds in seconds, dense around latency targets of 0.15 to 0.6 s."""
+"""Upper bounds of the buckets in seconds, dense around latency targets of 0.15 to
+0.6 s."""
 
 relayed_answers = counter(
     "clementinebend_relay_answers_total",
