--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -52,15 +52,15 @@
 
 logger = getLogger(__name__)
 
-LISTEN_AFTER_STOP = 2.4
+LISTEN_AFTER_STOP_SECONDS = 2.4
 """Seconds for which new connections are still taken after the order to stop:
 the balancer asks each second, and looks twice before it turns away."""
 
-STOP_MARGIN = 0.4
+STOP_MARGIN_SECONDS = 0.4
 """Seconds before the kill at which what still runs is cut off, so that what
 was spent is still written to the store."""
 
-LAST_COMMIT = 0.3
+FINAL_WRITE_SECONDS = 0.3
 """Seconds for writing down what was spent, at the very end."""
 
 
@@ -89,13 +89,13 @@
         self.entries = Directory()
         self.cold_endpoints = ColdEndpoints(settings.name, self.entries, clock)
         self.endpoints = EndpointTable(records, self.cold_endpoints, clock)
-        self.endpoints.on_first_snapshot = self._on_known
+        self.endpoints.on_first_snapshot = self._update_readiness
         self.configuration = ConfigurationTable(records, self._configure)
         self.paths = paths
         self.probe = probe
         self.gateways = Directory(self._on_gateways)
         self.socket: DatagramSocket | None = None
-        self.desk = WitnessDesk(boot, self._send)
+        self.witness_desk = WitnessDesk(boot, self._send)
         self.witnesses = Witnesses(boot, settings.zone, self.entries, self._send, clock)
         self.budgets = Budgets(
             boot, logs.marks, self.witnesses, self.entries.has_successor, clock
@@ -114,7 +114,7 @@
         self.queues = QueueDesk(boot, self._send, clock)
         self.witnesses.is_needed = self.peers.homes.is_candidate
         quarantine = Quarantine(clock)
-        self.news = QuarantineNews(
+        self.sync = QuarantineNews(
             boot, quarantine, self.entries, logs.quarantine, self._send_all, clock
         )
         self.leaving = LeavingNotifier(
@@ -146,7 +146,7 @@
                 "gateways", logs.gateways, self.gateways, clock, DIRECTORY_MAX_DELAY
             ),
             PartitionReader(
-                "quarantine", logs.quarantine, self.news, clock, DIRECTORY_MAX_DELAY
+                "quarantine", logs.quarantine, self.sync, clock, DIRECTORY_MAX_DELAY
             ),
         )
         self.budgets.is_store_lost = lambda: any(
@@ -162,11 +162,11 @@
             protocol,
             settings.retries,
             quarantine,
-            EndDetector(clock, quarantine.running, self.news.on_ended),
+            EndDetector(clock, quarantine.running, self.sync.on_ended),
             self.leaving,
             clock,
         )
-        attempts = Attempts(self.dispatcher, self.news, clock)
+        attempts = Attempts(self.dispatcher, self.sync, clock)
         self.handler = CallHandler(
             protocol,
             self.configuration,
@@ -180,10 +180,10 @@
         )
         self.servers: list[HttpServer] = []
 
-    def jobs(self) -> list[Coroutine[Any, Any, None]]:
+    def background_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return what runs for ever."""
         readers = [reader.run() for reader in self.readers]
-        keepers = [self._keep(keeper) for keeper in self.budgets.keepers]
+        keepers = [self._run_keeper(keeper) for keeper in self.budgets.keepers]
         settings = self.settings
         own = Announcement(
             self.boot, settings.zone, *settings.peers, cores=settings.cores
@@ -194,11 +194,11 @@
             announce(self.logs.entries, self.settings.name, own),
             self.peers.watch(),
             self.witnesses.run(),
-            self.news.run(),
+            self.sync.run(),
             self.paths.run(self.probe),
         ]
 
-    async def _keep(self, keeper: MarkKeeper) -> None:
+    async def _run_keeper(self, keeper: MarkKeeper) -> None:
         """Keep marks once the other entries are known.
 
         Before that each entry would take itself for the home of all budgets, and
@@ -239,17 +239,17 @@
         self.peers.resign()
         callers = self.servers[0]
         callers.announce_end()
-        await sleep(LISTEN_AFTER_STOP)
+        await sleep(LISTEN_AFTER_STOP_SECONDS)
         get_running_loop().call_later(DRAIN_GRACE_SECONDS, self.budgets.close)
-        left = kill_at - STOP_MARGIN - LAST_COMMIT - self.clock()
-        is_whole = await callers.drain(max(0.0, left))
-        await self.budgets.release(LAST_COMMIT)
+        remaining = kill_at - STOP_MARGIN_SECONDS - FINAL_WRITE_SECONDS - self.clock()
+        is_drained = await callers.drain(max(0.0, remaining))
+        await self.budgets.release(FINAL_WRITE_SECONDS)
         for server in self.servers:
             await server.close()
         await self.client.close()
         if self.socket is not None:
             self.socket.close()
-        return EXIT_OK if is_whole else EXIT_STOP_INCOMPLETE
+        return EXIT_OK if is_drained else EXIT_STOP_INCOMPLETE
 
     def _send(self, message: Message, address: Address) -> None:
         if self.socket is not None:
@@ -264,11 +264,11 @@
             message,
             sender,
             self.peers,
-            self.desk,
+            self.witness_desk,
             self.witnesses,
             self.probes,
             self.queues,
-            self.news,
+            self.sync,
             self.leaving,
             self.evacuations,
         )
@@ -278,13 +278,13 @@
         ranked = rendezvous(self.boot, announced, len(announced))
         self.paths.gateways = [announced[name].address for name in ranked]
 
-    def _on_known(self) -> None:
+    def _update_readiness(self) -> None:
         """Let calls go on once the first view of all they need is complete."""
         if self.configuration.current is not None and self.endpoints.has_snapshot:
             self.known.set()
 
     def _configure(self, configuration: Configuration) -> None:
-        self._on_known()
+        self._update_readiness()
         self.endpoints.configure(configuration.services)
         self.cold_endpoints.configure(
             configuration.services.values(), self.settings.cold_bound
@@ -315,17 +315,17 @@
     """Serve until ``stop`` is set, then end in order; return the exit code."""
     await process.listen(metrics_port)
     logger.info("started", extra={"entry": process.settings.name})
-    tasks = [create_task(job) for job in process.jobs()]
+    tasks = [create_task(job) for job in process.background_coroutines()]
     for task in tasks:
         watch(task, stop_process)
     await stop.wait()
     code = await process.stop()
-    await end_all(tasks)
+    await cancel_all(tasks)
     logger.info("stopped", extra={"code": code})
     return code
 
 
-async def end_all(tasks: list[Task[Any]]) -> None:
+async def cancel_all(tasks: list[Task[Any]]) -> None:
     """Cancel the tasks that run for ever."""
     for task in tasks:
         task.cancel()
--- a/libs/relay/src/clementinebend_relay/receiving.py
+++ b/libs/relay/src/clementinebend_relay/receiving.py
@@ -36,7 +36,7 @@
     witnesses: Witnesses,
     probes: QueueProbes,
     queues: QueueDesk,
-    news: QuarantineNews,
+    sync: QuarantineNews,
     leaving: LeavingNotifier,
     evacuations: Evacuations,
 ) -> None:
@@ -62,16 +62,16 @@
         case EvacuationMessage():
             evacuations.on_message(message)
         case _:
-            _receive_of_endpoints(message, news, leaving)
+            _receive_of_endpoints(message, sync, leaving)
 
 
 def _receive_of_endpoints(
     message: FatalityMessage | EndpointLeavingMessage,
-    news: QuarantineNews,
+    sync: QuarantineNews,
     leaving: LeavingNotifier,
 ) -> None:
     """Hand on what another entry has heard or seen of endpoints."""
     if isinstance(message, EndpointLeavingMessage):
         leaving.on_message(message)
     else:
-        news.on_message(message)
+        sync.on_message(message)
