--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -1,4 +1,4 @@
-"""One entry process on the direct path: its tasks and its planned stop."""
+"""The entry process: sets up its parts, runs its background tasks, and stops it."""
 
 from asyncio import Event, Task, create_task, gather, get_running_loop, sleep
 from collections.abc import Coroutine, Iterable
@@ -53,19 +53,19 @@
 logger = getLogger(__name__)
 
 LISTEN_AFTER_STOP_SECONDS = 2.4
-"""Seconds for which new connections are still taken after the order to stop:
-the balancer asks each second, and looks twice before it turns away."""
+"""Seconds for which new connections are accepted after the stop signal: the load
+balancer checks readiness every second and stops sending after two failed checks."""
 
 STOP_MARGIN_SECONDS = 0.4
-"""Seconds before the kill at which what still runs is cut off, so that what
-was spent is still written to the store."""
+"""Seconds kept free between the end of the stop sequence and the kill. Calls still in
+progress are cut off early enough for spent budgets to be written to the store."""
 
 FINAL_WRITE_SECONDS = 0.3
-"""Seconds for writing down what was spent, at the very end."""
+"""Seconds for the final write of spent budgets."""
 
 
 class RelayProcess:
-    """All that one entry is made of."""
+    """An entry with all its parts."""
 
     def __init__(
         self,
@@ -181,7 +181,7 @@
         self.servers: list[HttpServer] = []
 
     def background_coroutines(self) -> list[Coroutine[Any, Any, None]]:
-        """Return what runs for ever."""
+        """Return the coroutines that run until the process stops."""
         readers = [reader.run() for reader in self.readers]
         keepers = [self._run_keeper(keeper) for keeper in self.budgets.keepers]
         settings = self.settings
@@ -199,16 +199,16 @@
         ]
 
     async def _run_keeper(self, keeper: MarkKeeper) -> None:
-        """Keep marks once the other entries are known.
+        """Run a mark keeper once the other entries are known.
 
-        Before that each entry would take itself for the home of all budgets, and
-        all together take far more of them than a home may keep.
+        Before that each entry would consider itself the home of every budget, and all
+        entries together would reserve far more than one home may hold.
         """
         await self.entries.known.wait()
         await keeper.run()
 
     async def listen(self, metrics_port: int) -> None:
-        """Listen to callers, to the balancer and for questions about metrics."""
+        """Listen for callers, readiness checks, metrics scrapes and datagrams."""
         callers, ready = self.settings.callers, self.settings.ready
         self.socket = await open_socket(self.settings.peers, self._on_message)
         limits = ServerLimits()
@@ -219,7 +219,7 @@
         ]
 
     def reload(self, settings: RelaySettings, store: Address) -> None:
-        """Take changed settings; addresses that are bound stay as they are."""
+        """Apply changed settings; bound addresses keep their old values."""
         bound = self.settings
         self.settings = settings._replace(
             callers=bound.callers, ready=bound.ready, peers=bound.peers
@@ -229,11 +229,11 @@
         self.paths.move(store)
 
     def is_ready(self) -> bool:
-        """Tell whether callers should come here."""
+        """Tell whether the load balancer should send callers here."""
         return self.known.is_set() and not self.is_stopping
 
     async def stop(self) -> int:
-        """End in order; return the exit code."""
+        """Stop gracefully; return the exit code."""
         kill_at = self.clock() + self.settings.grace
         self.is_stopping = True
         self.peers.resign()
@@ -279,7 +279,7 @@
         self.paths.gateways = [announced[name].address for name in ranked]
 
     def _update_readiness(self) -> None:
-        """Let calls go on once the first view of all they need is complete."""
+        """Become ready once the configuration and the endpoints have been read."""
         if self.configuration.current is not None and self.endpoints.has_snapshot:
             self.known.set()
 
@@ -312,7 +312,7 @@
 
 
 async def run_relay(process: RelayProcess, metrics_port: int, stop: Event) -> int:
-    """Serve until ``stop`` is set, then end in order; return the exit code."""
+    """Serve until ``stop`` is set, then stop gracefully; return the exit code."""
     await process.listen(metrics_port)
     logger.info("started", extra={"entry": process.settings.name})
     tasks = [create_task(job) for job in process.background_coroutines()]
@@ -326,7 +326,7 @@
 
 
 async def cancel_all(tasks: list[Task[Any]]) -> None:
-    """Cancel the tasks that run for ever."""
+    """Cancel tasks and wait until they have ended."""
     for task in tasks:
         task.cancel()
     await gather(*tasks, return_exceptions=True)
