--- a/libs/relay/src/clementinebend_relay/receiving.py
+++ b/libs/relay/src/clementinebend_relay/receiving.py
@@ -32,7 +32,7 @@
     message: Message,
     sender: Address,
     peers: Peers,
-    desk: WitnessDesk,
+    witness_desk: WitnessDesk,
     witnesses: Witnesses,
     probes: QueueProbes,
     queues: QueueDesk,
@@ -49,9 +49,9 @@
         case GiftMessage():
             peers.on_gift(message)
         case OpenMessage():
-            desk.on_open(message, sender)
+            witness_desk.on_open(message, sender)
         case FenceMessage():
-            desk.on_fence(message, sender)
+            witness_desk.on_fence(message, sender)
         case AttestationMessage():
             peers.on_heard(message.witness)
             witnesses.on_answer(message)
@@ -62,10 +62,10 @@
         case EvacuationMessage():
             evacuations.on_message(message)
         case _:
-            _receive_of_endpoints(message, sync, leaving)
+            _receive_endpoint_message(message, sync, leaving)
 
 
-def _receive_of_endpoints(
+def _receive_endpoint_message(
     message: FatalityMessage | EndpointLeavingMessage,
     sync: QuarantineNews,
     leaving: LeavingNotifier,
