--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -129,14 +129,14 @@
                 logs.configuration,
                 CombinedTable((self.evacuations, self.configuration)),
                 clock,
-                min(settings.change_within, settings.evacuation_within),
+                min(settings.max_change_delay, settings.max_evacuation_delay),
             ),
             PartitionReader(
                 "endpoints",
                 logs.endpoints,
                 self.endpoints,
                 clock,
-                settings.leaving_within,
+                settings.max_leaving_delay,
                 is_busy=True,
             ),
             PartitionReader(
--- a/libs/relay/src/clementinebend_relay/settings.py
+++ b/libs/relay/src/clementinebend_relay/settings.py
@@ -13,10 +13,10 @@
     ``callers`` takes callers' requests, ``ready`` tells the balancer whether
     this entry is ready, ``peers`` takes datagrams of other entries.
     ``grace`` is the time between the order to stop and the kill. A new
-    configuration must act ``change_within`` its record, the leaving of an endpoint
-    ``leaving_within`` and the evacuation of a zone ``evacuation_within``. ``cores`` is
-    the processor that the host has, ``cold_bound`` the bound on calls a second to a
-    cold endpoint.
+    configuration must act ``max_change_delay`` its record, the leaving of an endpoint
+    ``max_leaving_delay`` and the evacuation of a zone ``max_evacuation_delay``.
+    ``cores`` is the processor that the host has, ``cold_bound`` the bound on calls a
+    second to a cold endpoint.
     """
 
     name: str
@@ -26,8 +26,8 @@
     peers: Address
     retries: RetryLimits
     grace: float
-    change_within: float
-    leaving_within: float
-    evacuation_within: float
+    max_change_delay: float
+    max_leaving_delay: float
+    max_evacuation_delay: float
     cores: float
     cold_bound: ColdBound = ColdBound()
