--- a/libs/relay/src/clementinebend_relay/receiving.py
+++ b/libs/relay/src/clementinebend_relay/receiving.py
@@ -1,4 +1,4 @@
-"""Where a datagram goes that has come."""
+"""Passes received messages to the parts of an entry that handle them."""
 
 from clementinebend_relay.evacuations import Evacuations
 from clementinebend_relay.leaving_notifier import LeavingNotifier
@@ -40,7 +40,7 @@
     leaving: LeavingNotifier,
     evacuations: Evacuations,
 ) -> None:
-    """Hand a message from ``sender`` to the part of the entry that it is for."""
+    """Pass a message from ``sender`` to the part of the entry that handles it."""
     match message:
         case LeavingMessage():
             peers.on_leaving(message)
@@ -70,7 +70,7 @@
     sync: QuarantineNews,
     leaving: LeavingNotifier,
 ) -> None:
-    """Hand on what another entry has heard or seen of endpoints."""
+    """Pass on a message about endpoints or about requests that end them."""
     if isinstance(message, EndpointLeavingMessage):
         leaving.on_message(message)
     else:
