--- a/libs/relay/src/clementinebend_relay/settings.py
+++ b/libs/relay/src/clementinebend_relay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry on the direct path."""
+"""Settings of an entry."""
 
 from typing import NamedTuple
 
@@ -8,15 +8,15 @@
 
 
 class RelaySettings(NamedTuple):
-    """Checked settings. Times are in seconds.
+    """Validated settings. Times are in seconds.
 
-    ``callers`` takes callers' requests, ``ready`` tells the balancer whether
-    this entry is ready, ``peers`` takes datagrams of other entries.
-    ``grace`` is the time between the order to stop and the kill. A new
-    configuration must act ``max_change_delay`` its record, the leaving of an endpoint
-    ``max_leaving_delay`` and the evacuation of a zone ``max_evacuation_delay``.
-    ``cores`` is the processor that the host has, ``cold_bound`` the bound on calls a
-    second to a cold endpoint.
+    ``callers``, ``ready`` and ``peers`` are the addresses for callers' requests, for
+    the load balancer's readiness checks and for datagrams from other entries.
+    ``grace`` is the time between the stop signal and the kill. A new configuration must
+    take effect at most ``max_change_delay`` after its record is written, the leaving of
+    an endpoint ``max_leaving_delay`` and the evacuation of a zone
+    ``max_evacuation_delay``. ``cores`` is the number of the host's CPU cores,
+    ``cold_bound`` the bound on calls a second to a cold endpoint.
     """
 
     name: str
