--- a/libs/relay/src/clementinebend_relay/quarantine.py
+++ b/libs/relay/src/clementinebend_relay/quarantine.py
@@ -29,15 +29,15 @@
     without_later,
 )
 
-QUARANTINE_PAUSE = 30.0
+QUARANTINE_RETRY_DELAY = 30.0
 """Seconds after which a caller of a quarantined request may come back: somebody has to
 mend the request or the endpoints first."""
 
-SUSPECT_PAUSE = 1.0
+SUSPECT_RETRY_DELAY = 1.0
 """Seconds after which a caller may come back while another run of a suspected request
 is awaited."""
 
-SUSPECT_WAIT = 2.0
+SUSPECT_WAIT_SECONDS = 2.0
 """Seconds that a call waits for it: by then a run has ended its endpoint, or is whole,
 or a stream has gone well for long enough to clear the request."""
 
@@ -49,21 +49,21 @@
 """Seconds after its supposed end from which on an endpoint's announcement shows that it
 lives: one that is read sooner may have been written before."""
 
-JUDGEMENT_SECONDS = 0.3
+DECISION_SECONDS = 0.3
 """How long a request under which enough endpoints ended is held for the judgement."""
 
-MOST_SUSPECTS = 2_000
-MOST_SOUND = 5_000
+MAX_SUSPECTS = 2_000
+MAX_SOUND = 5_000
 """Requests that are remembered, some 1 MB in all."""
 
-OLDEST_COMPARED = 50
+EVICTION_CANDIDATES = 50
 """Suspects compared when one must be forgotten: a flood of requests that ended one
 endpoint each does not push out those that ended several."""
 
-MOST_ALIVE = 10_000
+MAX_ALIVE = 10_000
 """Endpoints of which it is remembered when they were heard last, some 1 MB."""
 
-MOST_QUARANTINED = 1_000
+MAX_QUARANTINED = 1_000
 """Quarantined requests that are remembered; each has ended endpoints, so that nobody
 can push others out by sending different ones."""
 
@@ -88,7 +88,7 @@
         if fingerprint not in self.quarantined:
             return None
         message = "endpoints have ended under this request; mend it, or its endpoints"
-        return Rejection(Reason.QUARANTINED, message, QUARANTINE_PAUSE)
+        return Rejection(Reason.QUARANTINED, message, QUARANTINE_RETRY_DELAY)
 
     def is_suspected(self, fingerprint: str) -> bool:
         """Tell whether a request should run one at a time and apart from others."""
@@ -100,11 +100,11 @@
         A suspected request waits until its run before has ended. Whoever is let go
         enters ``running`` at once.
         """
-        until = min(deadline, self.clock() + SUSPECT_WAIT)
+        until = min(deadline, self.clock() + SUSPECT_WAIT_SECONDS)
         while self._must_wait(fingerprint):
             if self.clock() >= until:
                 message = "another run of this request must end first"
-                return Rejection(Reason.OVERLOADED, message, SUSPECT_PAUSE)
+                return Rejection(Reason.OVERLOADED, message, SUSPECT_RETRY_DELAY)
             with suppress(TimeoutError):
                 async with timeout_at(until):
                     await self.changed.wait()
@@ -152,7 +152,7 @@
             reason = "endpoints ended under it, and it was not answered"
             self._log("request suspected", fingerprint, endpoints_of(evidence), reason)
         if ends_in_series(evidence) >= FATAL_ENDS:
-            self.judged_at.setdefault(fingerprint, self.clock() + JUDGEMENT_SECONDS)
+            self.judged_at.setdefault(fingerprint, self.clock() + DECISION_SECONDS)
         self._bound()
         return True
 
@@ -167,7 +167,7 @@
         """
         self.sound_at.pop(fingerprint, None)
         self.sound_at[fingerprint] = self.clock()
-        if len(self.sound_at) > MOST_SOUND:
+        if len(self.sound_at) > MAX_SOUND:
             del self.sound_at[next(iter(self.sound_at))]
         evidence = self.evidence.pop(fingerprint, ())
         if is_suspected(evidence):
@@ -190,7 +190,7 @@
         """Take that an endpoint has answered: it has not ended."""
         self.alive_at.pop(endpoint, None)
         self.alive_at[endpoint] = self.clock()
-        if len(self.alive_at) > MOST_ALIVE:
+        if len(self.alive_at) > MAX_ALIVE:
             del self.alive_at[next(iter(self.alive_at))]
         if self.clock() - self.ended_at.get(endpoint, inf) <= LATE_DATA_SECONDS:
             return
@@ -228,7 +228,7 @@
             return
         own = endpoints_of(self.evidence.pop(fingerprint, ()))
         ended = self.quarantined[fingerprint] = own.union(endpoints)
-        if len(self.quarantined) > MOST_QUARANTINED:
+        if len(self.quarantined) > MAX_QUARANTINED:
             del self.quarantined[next(iter(self.quarantined))]
         self._log("request quarantined", fingerprint, ended, reason)
         self._count()
@@ -266,10 +266,10 @@
 
     def _bound(self) -> None:
         """Forget the one with least evidence of the oldest, if there are too many."""
-        if len(self.evidence) > MOST_SUSPECTS:
-            oldest = islice(self.evidence, OLDEST_COMPARED)
+        if len(self.evidence) > MAX_SUSPECTS:
+            oldest = islice(self.evidence, EVICTION_CANDIDATES)
             del self.evidence[min(oldest, key=lambda name: len(self.evidence[name]))]
-        if len(self.ended_at) > MOST_SUSPECTS:
+        if len(self.ended_at) > MAX_SUSPECTS:
             del self.ended_at[next(iter(self.ended_at))]
 
     def _wake(self) -> None:
--- a/tests/unit/relay/test_quarantine.py
+++ b/tests/unit/relay/test_quarantine.py
@@ -13,8 +13,8 @@
 )
 from clementinebend_relay.models import Reason, boot_name
 from clementinebend_relay.quarantine import (
-    MOST_QUARANTINED,
-    MOST_SUSPECTS,
+    MAX_QUARANTINED,
+    MAX_SUSPECTS,
     SOUND_SECONDS,
     Quarantine,
 )
@@ -297,15 +297,15 @@
         run = FatalRun(f"s{number}", 1.0 * number, number + 0.5)
         quarantine.on_run_ended("c" * 24, run)
     quarantine.put(FATAL, "endpoints ended under it")
-    for number in range(3 * MOST_SUSPECTS):
+    for number in range(3 * MAX_SUSPECTS):
         run = FatalRun(f"e{number}", now, now)
         quarantine.on_run_ended(f"{number:024x}", run)
-    assert len(quarantine.evidence) == MOST_SUSPECTS
+    assert len(quarantine.evidence) == MAX_SUSPECTS
     assert quarantine.is_suspected("c" * 24)
     assert quarantine.refusal(FATAL) is not None
-    for number in range(MOST_QUARANTINED + 10):
+    for number in range(MAX_QUARANTINED + 10):
         quarantine.put(f"{number:024x}", "told so")
-    assert len(quarantine.quarantined) == MOST_QUARANTINED
+    assert len(quarantine.quarantined) == MAX_QUARANTINED
 
 
 def test_suspects_run_one_at_a_time_and_those_that_wait_hear_the_judgement() -> None:
