--- a/libs/relay/src/clementinebend_relay/attempts.py
+++ b/libs/relay/src/clementinebend_relay/attempts.py
@@ -74,7 +74,7 @@
         """
         while progress.unserved < UNSERVED_TRIES and self._may_go_on(progress):
             fingerprint = progress.admitted.fingerprint
-            progress.refusal = await self.quarantine.turn(
+            progress.refusal = await self.quarantine.wait_for_turn(
                 fingerprint, progress.deadline
             )
             if progress.refusal is not None:
--- a/libs/relay/src/clementinebend_relay/quarantine.py
+++ b/libs/relay/src/clementinebend_relay/quarantine.py
@@ -78,7 +78,7 @@
         self.sound_at: dict[str, float] = {}
         self.ended_at: dict[str, float] = {}
         self.alive_at: dict[str, float] = {}
-        self.judged_at: dict[str, float] = {}
+        self.decision_due_at: dict[str, float] = {}
         self.in_flight: Counter[str] = Counter()
         self.changed = Event()
         self.on_lift: Callable[[str], None] | None = None
@@ -94,7 +94,9 @@
         """Tell whether a request should run one at a time and apart from others."""
         return is_suspected(self.evidence.get(fingerprint, ()))
 
-    async def turn(self, fingerprint: str, deadline: float) -> Rejection | None:
+    async def wait_for_turn(
+        self, fingerprint: str, deadline: float
+    ) -> Rejection | None:
         """Return once a call may be sent, or why it may not.
 
         A suspected request waits until its run before has ended. Whoever is let go
@@ -114,7 +116,7 @@
         """Tell whether a run of a suspect goes on, or whether it is being judged."""
         if not self.is_suspected(fingerprint):
             return False
-        is_judged = self.clock() >= self.judged_at.get(fingerprint, 0.0)
+        is_judged = self.clock() >= self.decision_due_at.get(fingerprint, 0.0)
         return not is_judged or self.in_flight[fingerprint] > 0
 
     @contextmanager
@@ -127,7 +129,7 @@
             self.in_flight[fingerprint] -= 1
             if not self.in_flight[fingerprint]:
                 del self.in_flight[fingerprint]
-            self._wake()
+            self._notify_waiters()
 
     def on_run_ended(self, fingerprint: str, run: FatalRun) -> bool:
         """Take that an endpoint ended under a request; return if that is evidence.
@@ -138,7 +140,7 @@
         """
         if self.alive_at.get(run.endpoint, -inf) > run.ended_at + LATE_DATA_SECONDS:
             return False
-        run = run._replace(ended_at=self._first_end(run))
+        run = run._replace(ended_at=self._earliest_end(run))
         if run.sent_at > run.ended_at + OVERLAP_SECONDS:
             return False
         if fingerprint in self.quarantined:
@@ -152,8 +154,10 @@
             reason = "endpoints ended under it, and it was not answered"
             self._log("request suspected", fingerprint, endpoints_of(evidence), reason)
         if ends_in_series(evidence) >= FATAL_ENDS:
-            self.judged_at.setdefault(fingerprint, self.clock() + DECISION_SECONDS)
-        self._bound()
+            self.decision_due_at.setdefault(
+                fingerprint, self.clock() + DECISION_SECONDS
+            )
+        self._evict()
         return True
 
     def on_sound(self, fingerprint: str) -> bool:
@@ -175,10 +179,10 @@
         lifted = self.quarantined.pop(fingerprint, None)
         if lifted is not None:
             self._log("quarantine lifted", fingerprint, lifted, reason)
-            self._count()
+            self._update_gauge()
             if self.on_lift is not None:
                 self.on_lift(fingerprint)
-        self._wake()
+        self._notify_waiters()
         return bool(evidence) or lifted is not None
 
     def is_sound(self, fingerprint: str) -> bool:
@@ -197,7 +201,7 @@
         del self.ended_at[endpoint]
         log_decision("endpoint not ended", endpoint=endpoint)
         for fingerprint, evidence in list(self.evidence.items()):
-            self._keep(fingerprint, without_endpoints(evidence, (endpoint,)))
+            self._set_evidence(fingerprint, without_endpoints(evidence, (endpoint,)))
 
     def on_announced(self, endpoint: str) -> None:
         """Take that an endpoint has announced itself again."""
@@ -205,7 +209,7 @@
         if at is not None and self.clock() - at > ALIVE_SECONDS:
             self.on_alive(endpoint)
 
-    def judge(self) -> list[str]:
+    def decide(self) -> list[str]:
         """Quarantine requests that end endpoints; return those that are new."""
         found = [
             name
@@ -215,8 +219,10 @@
         for fingerprint in found:
             self.put(fingerprint, "endpoints ended under it")
         now = self.clock()
-        self.judged_at = {name: at for name, at in self.judged_at.items() if at > now}
-        self._wake()
+        self.decision_due_at = {
+            name: at for name, at in self.decision_due_at.items() if at > now
+        }
+        self._notify_waiters()
         return found
 
     def put(self, fingerprint: str, reason: str, endpoints: Iterable[str] = ()) -> None:
@@ -231,12 +237,12 @@
         if len(self.quarantined) > MAX_QUARANTINED:
             del self.quarantined[next(iter(self.quarantined))]
         self._log("request quarantined", fingerprint, ended, reason)
-        self._count()
+        self._update_gauge()
         for name, other in list(self.evidence.items()):
-            self._keep(name, without_endpoints(other, ended))
-        self._wake()
+            self._set_evidence(name, without_endpoints(other, ended))
+        self._notify_waiters()
 
-    def _first_end(self, run: FatalRun) -> float:
+    def _earliest_end(self, run: FatalRun) -> float:
         """Return when an endpoint ended by all that is told of it.
 
         What is told first may be of runs that were sent when it had ended already.
@@ -248,7 +254,7 @@
         if known < inf:
             latest = run.ended_at + OVERLAP_SECONDS
             for name, evidence in list(self.evidence.items()):
-                self._keep(name, without_later(evidence, run.endpoint, latest))
+                self._set_evidence(name, without_later(evidence, run.endpoint, latest))
         return run.ended_at
 
     def _is_fatal(self, fingerprint: str) -> bool:
@@ -258,13 +264,13 @@
     def _is_explained(self, endpoint: str) -> bool:
         return any(endpoint in ended for ended in self.quarantined.values())
 
-    def _keep(self, fingerprint: str, evidence: Evidence) -> None:
+    def _set_evidence(self, fingerprint: str, evidence: Evidence) -> None:
         if evidence:
             self.evidence[fingerprint] = evidence
         else:
             self.evidence.pop(fingerprint, None)
 
-    def _bound(self) -> None:
+    def _evict(self) -> None:
         """Forget the one with least evidence of the oldest, if there are too many."""
         if len(self.evidence) > MAX_SUSPECTS:
             oldest = islice(self.evidence, EVICTION_CANDIDATES)
@@ -272,11 +278,11 @@
         if len(self.ended_at) > MAX_SUSPECTS:
             del self.ended_at[next(iter(self.ended_at))]
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         self.changed.set()
         self.changed.clear()
 
-    def _count(self) -> None:
+    def _update_gauge(self) -> None:
         quarantined_requests.set(len(self.quarantined))
 
     def _log(
--- a/libs/relay/src/clementinebend_relay/quarantine_news.py
+++ b/libs/relay/src/clementinebend_relay/quarantine_news.py
@@ -187,7 +187,7 @@
 
     def _judge(self) -> None:
         self.judging = None
-        for fingerprint in self.quarantine.judge():
+        for fingerprint in self.quarantine.decide():
             self.writes.put_nowait(fingerprint)
             self._tell_quarantine(fingerprint)
 
--- a/tests/unit/relay/test_quarantine.py
+++ b/tests/unit/relay/test_quarantine.py
@@ -315,7 +315,7 @@
         quarantine = entry.quarantine
         await end_in_turn(world, FATAL, ends=2)
         with quarantine.running(FATAL):
-            waiting = create_task(quarantine.turn(FATAL, 100.0))
+            waiting = create_task(quarantine.wait_for_turn(FATAL, 100.0))
             await sleep(0.2)
             assert not waiting.done()
             world.end_endpoint(entry, FATAL)
