--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -20,7 +20,7 @@
 from clementinebend_relay.models import CallerLimits, Configuration, Team
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.quarantine import Quarantine
-from clementinebend_relay.quarantine_news import QuarantineNews
+from clementinebend_relay.quarantine_sync import QuarantineSync
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.receiving import receive
@@ -79,7 +79,7 @@
         self.probes = QueueProbes(Directory(), self.directory, self.send, clock)
         self.queues = QueueDesk(self.boot, self.send, clock)
         self.quarantine = Quarantine(clock)
-        self.news = QuarantineNews(
+        self.news = QuarantineSync(
             self.boot,
             self.quarantine,
             self.directory,
--- a/libs/relay/src/clementinebend_relay/attempts.py
+++ b/libs/relay/src/clementinebend_relay/attempts.py
@@ -13,7 +13,7 @@
 from clementinebend_relay.metrics import broken_answers
 from clementinebend_relay.models import RouteKind
 from clementinebend_relay.progress import CallProgress
-from clementinebend_relay.quarantine_news import QuarantineNews
+from clementinebend_relay.quarantine_sync import QuarantineSync
 from clementinebend_relay.survey import Placement
 from clementinebend_routing.fatal_runs import counts_against
 from clementinebend_transport.http_client import OpenAnswer
@@ -59,7 +59,7 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        news: QuarantineNews,
+        news: QuarantineSync,
         clock: Callable[[], float],
     ) -> None:
         self.dispatcher = dispatcher
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -32,7 +32,7 @@
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.plain import PlainRelay
 from clementinebend_relay.quarantine import Quarantine
-from clementinebend_relay.quarantine_news import QuarantineNews
+from clementinebend_relay.quarantine_sync import QuarantineSync
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.receiving import receive
@@ -114,7 +114,7 @@
         self.queues = QueueDesk(boot, self._send, clock)
         self.witnesses.is_needed = self.peers.homes.is_candidate
         quarantine = Quarantine(clock)
-        self.sync = QuarantineNews(
+        self.sync = QuarantineSync(
             boot, quarantine, self.entries, logs.quarantine, self._send_all, clock
         )
         self.leaving = LeavingNotifier(
--- a/libs/relay/src/clementinebend_relay/quarantine_news.py
+++ b/libs/relay/src/clementinebend_relay/quarantine_sync.py
@@ -78,7 +78,7 @@
     endpoints: tuple[str, ...]
 
 
-class QuarantineNews:
+class QuarantineSync:
     """Tells the other entries, takes what they tell, and keeps the store's record."""
 
     def __init__(
--- a/libs/relay/src/clementinebend_relay/receiving.py
+++ b/libs/relay/src/clementinebend_relay/receiving.py
@@ -20,7 +20,7 @@
     SentMessage,
 )
 from clementinebend_relay.peers import Peers
-from clementinebend_relay.quarantine_news import QuarantineNews
+from clementinebend_relay.quarantine_sync import QuarantineSync
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.witness import WitnessDesk
@@ -36,7 +36,7 @@
     witnesses: Witnesses,
     probes: QueueProbes,
     queues: QueueDesk,
-    sync: QuarantineNews,
+    sync: QuarantineSync,
     leaving: LeavingNotifier,
     evacuations: Evacuations,
 ) -> None:
@@ -67,7 +67,7 @@
 
 def _receive_endpoint_message(
     message: FatalityMessage | EndpointLeavingMessage,
-    sync: QuarantineNews,
+    sync: QuarantineSync,
     leaving: LeavingNotifier,
 ) -> None:
     """Pass on a message about endpoints or about requests that end them."""
--- a/tests/unit/relay/quarantine_world.py
+++ b/tests/unit/relay/quarantine_world.py
@@ -13,7 +13,7 @@
 from clementinebend_relay.models import Endpoint, boot_name
 from clementinebend_relay.partition_reader import DIRECTORY_MAX_DELAY, PartitionReader
 from clementinebend_relay.quarantine import Quarantine
-from clementinebend_relay.quarantine_news import QuarantineNews
+from clementinebend_relay.quarantine_sync import QuarantineSync
 from clementinebend_routing.fatal_runs import FatalRun
 from clementinebend_transport.client_connection import Address
 
@@ -39,14 +39,14 @@
         self.quarantine = Quarantine(clock)
         self.directory = Directory()
         log = ModelLog(world.store)
-        self.news = QuarantineNews(
+        self.sync = QuarantineSync(
             self.boot, self.quarantine, self.directory, log, world.send_all, clock
         )
         reader = PartitionReader(
-            "quarantine", log, self.news, clock, DIRECTORY_MAX_DELAY
+            "quarantine", log, self.sync, clock, DIRECTORY_MAX_DELAY
         )
         self.tasks: list[Task[None]] = [
-            create_task(self.news.run()),
+            create_task(self.sync.run()),
             create_task(reader.run()),
         ]
 
@@ -110,7 +110,7 @@
         def take() -> None:
             entry = self.entries.get(address)
             if entry is not None:
-                entry.news.on_message(decoded(data))  # type: ignore[arg-type]
+                entry.sync.on_message(decoded(data))  # type: ignore[arg-type]
 
         get_running_loop().call_later(DATAGRAM_SECONDS, take)
 
@@ -124,7 +124,7 @@
         ended = endpoint(next(self.numbers))
         for entry, fingerprints in runs.items():
             run = FatalRun(boot_name(ended), now - RUN_SECONDS, now)
-            entry.news.on_ended(ended, [EndedRun(name, run) for name in fingerprints])
+            entry.sync.on_ended(ended, [EndedRun(name, run) for name in fingerprints])
         return ended
 
 
--- a/tests/unit/relay/test_quarantine.py
+++ b/tests/unit/relay/test_quarantine.py
@@ -114,7 +114,7 @@
     async def play() -> None:
         world = QuarantineWorld(4)
         await end_in_turn(world, HARMLESS, ends=2)
-        world.all()[3].news.on_sound(HARMLESS)
+        world.all()[3].sync.on_sound(HARMLESS)
         await sleep(SOUND_SECONDS + PAUSE)
         await end_in_turn(world, HARMLESS, ends=2)
         assert not any(entry.keeps_back(HARMLESS) for entry in world.all())
@@ -128,12 +128,12 @@
         world = QuarantineWorld(4)
         popular = world.all()[3]
         for _ in range(4):
-            popular.news.on_sound(HARMLESS)
+            popular.sync.on_sound(HARMLESS)
             world.end_endpoint(world.all()[0], HARMLESS)
             await sleep(PAUSE)
         await sleep(SPREAD_SECONDS)
         assert not any(entry.keeps_back(HARMLESS) for entry in world.all())
-        assert all(not entry.news.recorded for entry in world.all())
+        assert all(not entry.sync.recorded for entry in world.all())
         world.end()
 
     run_virtually(play())
@@ -144,7 +144,7 @@
         world = QuarantineWorld(3)
         await end_in_turn(world, HARMLESS)
         await sleep(SPREAD_SECONDS)
-        world.all()[1].news.on_sound(HARMLESS)
+        world.all()[1].sync.on_sound(HARMLESS)
         await sleep(SPREAD_SECONDS)
         assert not any(entry.keeps_back(HARMLESS) for entry in world.all())
         assert not world.start(0).keeps_back(HARMLESS)
@@ -220,10 +220,10 @@
             ended = endpoint(number)
             boot = boot_name(ended)
             late = FatalRun(boot, now() - 0.1, now() - 0.05)
-            second.news.on_ended(ended, [EndedRun(HARMLESS, late)])
+            second.sync.on_ended(ended, [EndedRun(HARMLESS, late)])
             await sleep(0.05)
             culprit = FatalRun(boot, now() - 0.5, now() - 0.3)
-            first.news.on_ended(ended, [EndedRun(FATAL, culprit)])
+            first.sync.on_ended(ended, [EndedRun(FATAL, culprit)])
             await sleep(PAUSE)
         await sleep(SPREAD_SECONDS)
         for entry in world.all():
@@ -251,14 +251,14 @@
 async def hold_forged(entry: QuarantineEntry) -> None:
     """Send what a stranger, or a confused or late entry, may send."""
     strange = EndpointEndedMessage("entry-9#1", "i-1/", 0.0, (ToldRun(FATAL, 1.0),))
-    entry.news.on_message(strange)
-    entry.news.on_message(QuarantineMessage("entry-9#1", FATAL, ()))
+    entry.sync.on_message(strange)
+    entry.sync.on_message(QuarantineMessage("entry-9#1", FATAL, ()))
     known = entry.boot
     runs = (ToldRun("x", 1.0), ToldRun(FATAL, -1.0), ToldRun(FATAL, float("nan")))
     for age in (-1.0, 11.0, float("nan"), 0.5):
-        entry.news.on_message(EndpointEndedMessage(known, "i-2/", age, runs))
-    entry.news.on_message(QuarantineMessage(known, "x" * 300, ()))
-    entry.news.on_message(SoundMessage(known, "x" * 300))
+        entry.sync.on_message(EndpointEndedMessage(known, "i-2/", age, runs))
+    entry.sync.on_message(QuarantineMessage(known, "x" * 300, ()))
+    entry.sync.on_message(SoundMessage(known, "x" * 300))
     await sleep(SPREAD_SECONDS)
 
 
@@ -282,7 +282,7 @@
         runs = (ToldRun(FATAL, 0.2),)
         for _ in range(5):
             message = EndpointEndedMessage(entry.boot, "i-1/", 0.1, runs)
-            entry.news.on_message(message)
+            entry.sync.on_message(message)
             await sleep(PAUSE)
         assert not entry.quarantine.is_suspected(FATAL)
         world.end()
