--- a/libs/relay/src/clementinebend_relay/quarantine_sync.py
+++ b/libs/relay/src/clementinebend_relay/quarantine_sync.py
@@ -39,26 +39,26 @@
 """Seconds after which a datagram is sent, and sent again: one that is lost is made good
 before the next repetitions of a request have ended many endpoints."""
 
-MOST_RUNS_TOLD = 30
+MAX_RUNS_PER_MESSAGE = 30
 """Runs in one datagram, so that it is no larger than a packet."""
 
-MOST_AGE = 10.0
+MAX_REPORT_AGE = 10.0
 """Seconds after which word of an end is too late to count."""
 
-MOST_ENDPOINTS_TOLD = 16
+MAX_ENDPOINTS_LISTED = 16
 """Endpoints that a datagram or a record names."""
 
-MOST_NAME = 200
+MAX_NAME_LENGTH = 200
 """Characters of an endpoint's name."""
 
-SETTLE_SECONDS = 0.15
+DECISION_DELAY = 0.15
 """Seconds between word of an end and the judgement: entries tell of the same end within
 some milliseconds, and only all suspects together show which is the cause."""
 
-SETTLE_SPREAD = 0.1
+DECISION_JITTER = 0.1
 """Entries judge up to that much later, at random: the first one tells the others."""
 
-WRITE_SPREAD = 1.0
+WRITE_JITTER = 1.0
 """Seconds within which an entry writes a quarantine to the store, at random, also again
 after a failure: most read the record of another before."""
 
@@ -105,7 +105,7 @@
         """Bring the store's records in line for ever."""
         while True:
             fingerprint = await self.writes.get()
-            await sleep(random() * WRITE_SPREAD)
+            await sleep(random() * WRITE_JITTER)
             if not await self._write(fingerprint):
                 self.writes.put_nowait(fingerprint)
 
@@ -113,8 +113,8 @@
         """Take that an endpoint ended under calls of this entry, and tell of it."""
         quarantine = self.quarantine
         taken = [each for each in runs if quarantine.on_run_ended(*each)]
-        for start in range(0, len(taken), MOST_RUNS_TOLD):
-            self._tell_ended(endpoint, taken[start : start + MOST_RUNS_TOLD])
+        for start in range(0, len(taken), MAX_RUNS_PER_MESSAGE):
+            self._tell_ended(endpoint, taken[start : start + MAX_RUNS_PER_MESSAGE])
         self._judge_soon()
 
     def on_sound(self, fingerprint: str) -> None:
@@ -155,11 +155,11 @@
         self.quarantine.clear(fingerprint, "its record in the store has ended")
 
     def _take_ended(self, message: EndpointEndedMessage) -> None:
-        is_sane = len(message.endpoint) <= MOST_NAME
-        if not (is_sane and 0.0 <= message.ended_ago <= MOST_AGE):
+        is_sane = len(message.endpoint) <= MAX_NAME_LENGTH
+        if not (is_sane and 0.0 <= message.ended_ago <= MAX_REPORT_AGE):
             return
         now = self.clock()
-        for told in message.runs[:MOST_RUNS_TOLD]:
+        for told in message.runs[:MAX_RUNS_PER_MESSAGE]:
             is_request = FINGERPRINT.fullmatch(told.fingerprint) is not None
             if is_request and told.sent_ago >= message.ended_ago:
                 run = FatalRun(
@@ -176,13 +176,13 @@
         if self.quarantine.is_sound(fingerprint):
             self._repeat(lambda: SoundMessage(self.boot, fingerprint))
             return
-        endpoints = message.endpoints[:MOST_ENDPOINTS_TOLD]
+        endpoints = message.endpoints[:MAX_ENDPOINTS_LISTED]
         self.quarantine.put(fingerprint, f"{message.boot} told so", endpoints)
         self.writes.put_nowait(fingerprint)
 
     def _judge_soon(self) -> None:
         if self.judging is None:
-            pause = SETTLE_SECONDS + random() * SETTLE_SPREAD
+            pause = DECISION_DELAY + random() * DECISION_JITTER
             self.judging = get_running_loop().call_later(pause, self._judge)
 
     def _judge(self) -> None:
@@ -196,7 +196,7 @@
             endpoints = self.quarantine.quarantined.get(fingerprint)
             if endpoints is None:
                 return None
-            told = tuple(sorted(endpoints)[:MOST_ENDPOINTS_TOLD])
+            told = tuple(sorted(endpoints)[:MAX_ENDPOINTS_LISTED])
             return QuarantineMessage(self.boot, fingerprint, told)
 
         self._repeat(message)
@@ -231,7 +231,7 @@
             return True
         value = b""
         if endpoints is not None:
-            told = tuple(sorted(endpoints)[:MOST_ENDPOINTS_TOLD])
+            told = tuple(sorted(endpoints)[:MAX_ENDPOINTS_LISTED])
             value = encode(QuarantineRecord(self.boot, time(), told))
         outcome = await self.log.append(((fingerprint, value),), None)
         if isinstance(outcome, StoreFailure):
