--- a/libs/relay/src/clementinebend_relay/quarantine_sync.py
+++ b/libs/relay/src/clementinebend_relay/quarantine_sync.py
@@ -98,7 +98,7 @@
         self.clock = clock
         self.recorded: set[str] = set()
         self.writes: Queue[str] = Queue()
-        self.judging: TimerHandle | None = None
+        self.decision_timer: TimerHandle | None = None
         quarantine.on_lift = self.writes.put_nowait
 
     async def run(self) -> None:
@@ -112,15 +112,17 @@
     def on_ended(self, endpoint: Endpoint, runs: list[EndedRun]) -> None:
         """Take that an endpoint ended under calls of this entry, and tell of it."""
         quarantine = self.quarantine
-        taken = [each for each in runs if quarantine.on_run_ended(*each)]
-        for start in range(0, len(taken), MAX_RUNS_PER_MESSAGE):
-            self._tell_ended(endpoint, taken[start : start + MAX_RUNS_PER_MESSAGE])
-        self._judge_soon()
+        accepted = [each for each in runs if quarantine.on_run_ended(*each)]
+        for start in range(0, len(accepted), MAX_RUNS_PER_MESSAGE):
+            self._broadcast_end(
+                endpoint, accepted[start : start + MAX_RUNS_PER_MESSAGE]
+            )
+        self._schedule_decision()
 
     def on_sound(self, fingerprint: str) -> None:
         """Take that a request ran well, and tell of it if that matters."""
         if self.quarantine.on_sound(fingerprint):
-            self._repeat(lambda: SoundMessage(self.boot, fingerprint))
+            self._broadcast(lambda: SoundMessage(self.boot, fingerprint))
 
     def on_message(self, message: FatalityMessage) -> None:
         """Take what another entry tells; of a process that is none, nothing."""
@@ -129,9 +131,9 @@
             return
         match message:
             case EndpointEndedMessage():
-                self._take_ended(message)
+                self._apply_end(message)
             case QuarantineMessage():
-                self._take_quarantine(message)
+                self._apply_quarantine(message)
             case SoundMessage() if FINGERPRINT.fullmatch(message.fingerprint):
                 self.quarantine.on_sound(message.fingerprint)
 
@@ -143,20 +145,20 @@
             self.recorded.add(record.key)
             self.quarantine.put(record.key, "the store has a record of it")
         else:
-            self._take_end(record.key)
+            self._apply_removal(record.key)
 
     def on_snapshot(self, keys: frozenset[str], end: int) -> None:
         """Take all keys there are: quarantines without one were ended meanwhile."""
         for fingerprint in self.recorded - keys:
-            self._take_end(fingerprint)
+            self._apply_removal(fingerprint)
 
-    def _take_end(self, fingerprint: str) -> None:
+    def _apply_removal(self, fingerprint: str) -> None:
         self.recorded.discard(fingerprint)
         self.quarantine.clear(fingerprint, "its record in the store has ended")
 
-    def _take_ended(self, message: EndpointEndedMessage) -> None:
-        is_sane = len(message.endpoint) <= MAX_NAME_LENGTH
-        if not (is_sane and 0.0 <= message.ended_ago <= MAX_REPORT_AGE):
+    def _apply_end(self, message: EndpointEndedMessage) -> None:
+        is_valid_name = len(message.endpoint) <= MAX_NAME_LENGTH
+        if not (is_valid_name and 0.0 <= message.ended_ago <= MAX_REPORT_AGE):
             return
         now = self.clock()
         for told in message.runs[:MAX_RUNS_PER_MESSAGE]:
@@ -166,32 +168,32 @@
                     message.endpoint, now - told.sent_ago, now - message.ended_ago
                 )
                 self.quarantine.on_run_ended(told.fingerprint, run)
-        self._judge_soon()
+        self._schedule_decision()
 
-    def _take_quarantine(self, message: QuarantineMessage) -> None:
+    def _apply_quarantine(self, message: QuarantineMessage) -> None:
         """Take a quarantine, or object if its request was answered a moment ago."""
         fingerprint = message.fingerprint
         if not FINGERPRINT.fullmatch(fingerprint):
             return
         if self.quarantine.is_sound(fingerprint):
-            self._repeat(lambda: SoundMessage(self.boot, fingerprint))
+            self._broadcast(lambda: SoundMessage(self.boot, fingerprint))
             return
         endpoints = message.endpoints[:MAX_ENDPOINTS_LISTED]
         self.quarantine.put(fingerprint, f"{message.boot} told so", endpoints)
         self.writes.put_nowait(fingerprint)
 
-    def _judge_soon(self) -> None:
-        if self.judging is None:
+    def _schedule_decision(self) -> None:
+        if self.decision_timer is None:
             pause = DECISION_DELAY + random() * DECISION_JITTER
-            self.judging = get_running_loop().call_later(pause, self._judge)
+            self.decision_timer = get_running_loop().call_later(pause, self._decide)
 
-    def _judge(self) -> None:
-        self.judging = None
+    def _decide(self) -> None:
+        self.decision_timer = None
         for fingerprint in self.quarantine.decide():
             self.writes.put_nowait(fingerprint)
-            self._tell_quarantine(fingerprint)
+            self._broadcast_quarantine(fingerprint)
 
-    def _tell_quarantine(self, fingerprint: str) -> None:
+    def _broadcast_quarantine(self, fingerprint: str) -> None:
         def message() -> Message | None:
             endpoints = self.quarantine.quarantined.get(fingerprint)
             if endpoints is None:
@@ -199,9 +201,9 @@
             told = tuple(sorted(endpoints)[:MAX_ENDPOINTS_LISTED])
             return QuarantineMessage(self.boot, fingerprint, told)
 
-        self._repeat(message)
+        self._broadcast(message)
 
-    def _tell_ended(self, endpoint: Endpoint, runs: list[EndedRun]) -> None:
+    def _broadcast_end(self, endpoint: Endpoint, runs: list[EndedRun]) -> None:
         ended_at = max(each.run.ended_at for each in runs)
 
         def message() -> Message:
@@ -211,16 +213,16 @@
                 self.boot, boot_name(endpoint), now - ended_at, tuple(told)
             )
 
-        self._repeat(message)
+        self._broadcast(message)
 
-    def _repeat(self, make: Callable[[], Message | None]) -> None:
+    def _broadcast(self, build: Callable[[], Message | None]) -> None:
         """Send a message several times, made anew each time, unless it is void."""
         loop = get_running_loop()
         for pause in REPEAT_DELAYS:
-            loop.call_later(pause, self._send, make)
+            loop.call_later(pause, self._send, build)
 
-    def _send(self, make: Callable[[], Message | None]) -> None:
-        message = make()
+    def _send(self, build: Callable[[], Message | None]) -> None:
+        message = build()
         if message is not None:
             self.send_all(message, self.directory.others(self.boot))
 
