--- a/libs/relay/src/clementinebend_relay/quarantine.py
+++ b/libs/relay/src/clementinebend_relay/quarantine.py
@@ -1,7 +1,7 @@
-"""Requests that are kept from endpoints because these end under them.
+"""Quarantine of requests that are suspected of crashing the endpoints that run them.
 
-The decisions are those of ``clementinebend_routing.fatal_runs``; here is what this
-entry knows of each request, by its fingerprint.
+The rules are those of ``clementinebend_routing.fatal_runs``; this module keeps the
+evidence that they are applied to, by the fingerprint of the request.
 """
 
 from asyncio import Event, timeout_at
@@ -30,46 +30,55 @@
 )
 
 QUARANTINE_RETRY_DELAY = 30.0
-"""Seconds after which a caller of a quarantined request may come back: somebody has to
-mend the request or the endpoints first."""
+"""Seconds after which a caller of a quarantined request may retry: the request or the
+endpoints have to be fixed first."""
 
 SUSPECT_RETRY_DELAY = 1.0
-"""Seconds after which a caller may come back while another run of a suspected request
-is awaited."""
+"""Seconds after which a caller may retry while another run of its suspected request is
+in progress."""
 
 SUSPECT_WAIT_SECONDS = 2.0
-"""Seconds that a call waits for it: by then a run has ended its endpoint, or is whole,
-or a stream has gone well for long enough to clear the request."""
+"""Maximum seconds that a call waits for that run. By then the run has ended its
+endpoint or is complete, or its stream has lasted long enough to clear the request."""
 
 SOUND_SECONDS = 3.0
-"""How long the last whole answer to a request speaks for it: word of an end may come
-that much later than the answer."""
+"""Seconds after a complete answer during which ends are not held against its request:
+the report of an earlier end may arrive that much later than the answer."""
 
 ALIVE_SECONDS = 2.0
-"""Seconds after its supposed end from which on an endpoint's announcement shows that it
-lives: one that is read sooner may have been written before."""
+"""Seconds after an endpoint's supposed end from which on an announcement proves that it
+is running: one that is read sooner may have been written before the end."""
 
 DECISION_SECONDS = 0.3
-"""How long a request under which enough endpoints ended is held for the judgement."""
+"""Maximum seconds for which calls of a request under which enough endpoints have ended
+wait for the decision about a quarantine."""
 
 MAX_SUSPECTS = 2_000
 MAX_SOUND = 5_000
-"""Requests that are remembered, some 1 MB in all."""
+"""Maximum numbers of suspected and of cleared requests kept, about 1 MB in total."""
 
 EVICTION_CANDIDATES = 50
-"""Suspects compared when one must be forgotten: a flood of requests that ended one
-endpoint each does not push out those that ended several."""
+"""Number of oldest suspects from which the one to evict is chosen. The one with the
+least evidence is evicted, so that many requests that ended one endpoint each do not
+displace those that ended several."""
 
 MAX_ALIVE = 10_000
-"""Endpoints of which it is remembered when they were heard last, some 1 MB."""
+"""Maximum number of endpoints for which the time of their last answer is kept, about
+1 MB."""
 
 MAX_QUARANTINED = 1_000
-"""Quarantined requests that are remembered; each has ended endpoints, so that nobody
-can push others out by sending different ones."""
+"""Maximum number of quarantined requests kept. Each of them has ended endpoints, so
+that a caller cannot displace others by merely sending different requests."""
 
 
 class Quarantine:
-    """What this entry believes of requests, and which of them it keeps back."""
+    """Evidence of this entry against requests, and the quarantined requests.
+
+    ``evidence`` holds the fatal runs of requests that are not quarantined,
+    ``quarantined`` the endpoints that ended under each quarantined request,
+    ``sound_at`` when a request last ran well or was cleared, ``ended_at`` and
+    ``alive_at`` when an endpoint ended and when it last answered.
+    """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
@@ -84,23 +93,23 @@
         self.on_lift: Callable[[str], None] | None = None
 
     def refusal(self, fingerprint: str) -> Rejection | None:
-        """Return why a request may not go to any endpoint, if it may not."""
+        """Return the rejection of a quarantined request, None for other requests."""
         if fingerprint not in self.quarantined:
             return None
         message = "endpoints have ended under this request; mend it, or its endpoints"
         return Rejection(Reason.QUARANTINED, message, QUARANTINE_RETRY_DELAY)
 
     def is_suspected(self, fingerprint: str) -> bool:
-        """Tell whether a request should run one at a time and apart from others."""
+        """Tell whether a request should run one at a time, apart from others."""
         return is_suspected(self.evidence.get(fingerprint, ()))
 
     async def wait_for_turn(
         self, fingerprint: str, deadline: float
     ) -> Rejection | None:
-        """Return once a call may be sent, or why it may not.
+        """Wait until a call may be sent; return its rejection if it may not.
 
-        A suspected request waits until its run before has ended. Whoever is let go
-        enters ``running`` at once.
+        A suspected request waits until its previous run has ended. A caller that is
+        admitted must enter ``running`` immediately.
         """
         until = min(deadline, self.clock() + SUSPECT_WAIT_SECONDS)
         while self._must_wait(fingerprint):
@@ -113,7 +122,7 @@
         return self.refusal(fingerprint)
 
     def _must_wait(self, fingerprint: str) -> bool:
-        """Tell whether a run of a suspect goes on, or whether it is being judged."""
+        """Tell whether a suspect has a run in progress or a decision pending."""
         if not self.is_suspected(fingerprint):
             return False
         is_judged = self.clock() >= self.decision_due_at.get(fingerprint, 0.0)
@@ -121,7 +130,7 @@
 
     @contextmanager
     def running(self, fingerprint: str) -> Iterator[None]:
-        """Count a run of a request while it lasts."""
+        """Count a run of a request as in progress during the context."""
         self.in_flight[fingerprint] += 1
         try:
             yield
@@ -132,11 +141,11 @@
             self._notify_waiters()
 
     def on_run_ended(self, fingerprint: str, run: FatalRun) -> bool:
-        """Take that an endpoint ended under a request; return if that is evidence.
+        """Record that an endpoint ended under a request; return if that is evidence.
 
-        It is none shortly after a whole answer to the request, if the end is explained
-        by a request that is quarantined, or if the endpoint was heard since. Nor is it
-        if the run was sent after the end, as another entry saw it.
+        It is not evidence shortly after a complete answer to the request, if the end is
+        explained by a quarantined request, or if the endpoint has answered since. Nor
+        is it if the run was sent after the end as observed by another entry.
         """
         if self.alive_at.get(run.endpoint, -inf) > run.ended_at + LATE_DATA_SECONDS:
             return False
@@ -161,13 +170,13 @@
         return True
 
     def on_sound(self, fingerprint: str) -> bool:
-        """Take that a request ran well; return if that changes what is believed."""
+        """Clear a request that ran well; return if there was anything against it."""
         return self.clear(fingerprint, "it ran well")
 
     def clear(self, fingerprint: str, reason: str) -> bool:
-        """Hold nothing against a request any more; return if something was held.
+        """Remove evidence and quarantine of a request; return if there was any.
 
-        For a while nothing that others tell late is held against it either.
+        For ``SOUND_SECONDS`` late reports of other entries are ignored as well.
         """
         self.sound_at.pop(fingerprint, None)
         self.sound_at[fingerprint] = self.clock()
@@ -186,12 +195,12 @@
         return bool(evidence) or lifted is not None
 
     def is_sound(self, fingerprint: str) -> bool:
-        """Tell whether a request was answered whole, or cleared, a moment ago."""
+        """Tell whether a request was recently answered completely, or cleared."""
         at = self.sound_at.get(fingerprint)
         return at is not None and self.clock() - at < SOUND_SECONDS
 
     def on_alive(self, endpoint: str) -> None:
-        """Take that an endpoint has answered: it has not ended."""
+        """Record that an endpoint has answered and so has not ended."""
         self.alive_at.pop(endpoint, None)
         self.alive_at[endpoint] = self.clock()
         if len(self.alive_at) > MAX_ALIVE:
@@ -204,13 +213,13 @@
             self._set_evidence(fingerprint, without_endpoints(evidence, (endpoint,)))
 
     def on_announced(self, endpoint: str) -> None:
-        """Take that an endpoint has announced itself again."""
+        """Record a new announcement of an endpoint."""
         at = self.ended_at.get(endpoint)
         if at is not None and self.clock() - at > ALIVE_SECONDS:
             self.on_alive(endpoint)
 
     def decide(self) -> list[str]:
-        """Quarantine requests that end endpoints; return those that are new."""
+        """Quarantine the requests found to be fatal; return the new ones."""
         found = [
             name
             for name, evidence in self.evidence.items()
@@ -226,9 +235,9 @@
         return found
 
     def put(self, fingerprint: str, reason: str, endpoints: Iterable[str] = ()) -> None:
-        """Keep a request from endpoints; its ends are no evidence against others.
+        """Quarantine a request; its ends no longer count against other requests.
 
-        ``endpoints`` are boots that ended under it, beside those known here.
+        ``endpoints`` are boots that ended under it, besides those known here.
         """
         if fingerprint in self.quarantined:
             return
@@ -243,9 +252,9 @@
         self._notify_waiters()
 
     def _earliest_end(self, run: FatalRun) -> float:
-        """Return when an endpoint ended by all that is told of it.
+        """Return the earliest known end of an endpoint, and update it.
 
-        What is told first may be of runs that were sent when it had ended already.
+        The first report may be of runs that were sent after the endpoint had ended.
         """
         known = self.ended_at.get(run.endpoint, inf)
         if run.ended_at >= known:
@@ -271,7 +280,10 @@
             self.evidence.pop(fingerprint, None)
 
     def _evict(self) -> None:
-        """Forget the one with least evidence of the oldest, if there are too many."""
+        """Evict one suspect and one known end if there are too many.
+
+        The evicted suspect is the one with the least evidence among the oldest.
+        """
         if len(self.evidence) > MAX_SUSPECTS:
             oldest = islice(self.evidence, EVICTION_CANDIDATES)
             del self.evidence[min(oldest, key=lambda name: len(self.evidence[name]))]
