--- a/libs/relay/src/clementinebend_relay/quarantine_sync.py
+++ b/libs/relay/src/clementinebend_relay/quarantine_sync.py
@@ -1,7 +1,8 @@
-"""How entries tell one another of requests under which endpoints end.
+"""Shares evidence and quarantines between entries.
 
-By datagrams at once, some of them sent again as they may be lost; a quarantine also by
-a record in the store, for entries that start later or are cut off from the others.
+Entries broadcast both by datagrams, repeatedly since datagrams may be lost. A
+quarantine is also recorded in the store, for entries that start later or cannot reach
+the others.
 """
 
 from asyncio import Queue, TimerHandle, get_running_loop, sleep
@@ -36,31 +37,33 @@
 from clementinebend_transport.client_connection import Address
 
 REPEAT_DELAYS = (0.0, 0.3, 1.0)
-"""Seconds after which a datagram is sent, and sent again: one that is lost is made good
-before the next repetitions of a request have ended many endpoints."""
+"""Delays in seconds after which a datagram is sent. The repetitions make up for a lost
+one before further runs of a request have ended many endpoints."""
 
 MAX_RUNS_PER_MESSAGE = 30
-"""Runs in one datagram, so that it is no larger than a packet."""
+"""Maximum number of runs in one datagram, so that it fits into one packet."""
 
 MAX_REPORT_AGE = 10.0
-"""Seconds after which word of an end is too late to count."""
+"""Maximum age in seconds of a reported end; reports of older ones are ignored."""
 
 MAX_ENDPOINTS_LISTED = 16
-"""Endpoints that a datagram or a record names."""
+"""Maximum number of endpoints listed in a datagram or a record."""
 
 MAX_NAME_LENGTH = 200
-"""Characters of an endpoint's name."""
+"""Maximum length of an endpoint's name, in characters."""
 
 DECISION_DELAY = 0.15
-"""Seconds between word of an end and the judgement: entries tell of the same end within
-some milliseconds, and only all suspects together show which is the cause."""
+"""Seconds between the report of an end and the decision about quarantines. Entries
+report the same end within a few milliseconds of each other, and the cause can only be
+told from all suspects together."""
 
 DECISION_JITTER = 0.1
-"""Entries judge up to that much later, at random: the first one tells the others."""
+"""Maximum random addition to that delay in seconds: the first entry to decide informs
+the others."""
 
 WRITE_JITTER = 1.0
-"""Seconds within which an entry writes a quarantine to the store, at random, also again
-after a failure: most read the record of another before."""
+"""Maximum random delay in seconds before a write to the store, or its retry. Most
+entries read the record of another entry before they would write theirs."""
 
 FINGERPRINT = pattern(f"[0-9a-f]{{{2 * KEY_DIGEST_BYTES}}}")
 
@@ -68,9 +71,9 @@
 
 
 class QuarantineRecord(NamedTuple):
-    """What the store keeps of a quarantined request, for operators and entries.
+    """Stored record of a quarantined request, read by operators and entries.
 
-    ``by`` is the entry that wrote it, ``since`` the Unix time in seconds.
+    ``by`` is the boot of the entry that wrote it, ``since`` the Unix time in seconds.
     """
 
     by: str
@@ -79,7 +82,7 @@
 
 
 class QuarantineSync:
-    """Tells the other entries, takes what they tell, and keeps the store's record."""
+    """Exchanges reports with other entries, and maintains the records in the store."""
 
     def __init__(
         self,
@@ -102,7 +105,7 @@
         quarantine.on_lift = self.writes.put_nowait
 
     async def run(self) -> None:
-        """Bring the store's records in line for ever."""
+        """Write changed quarantines to the store, forever."""
         while True:
             fingerprint = await self.writes.get()
             await sleep(random() * WRITE_JITTER)
@@ -110,7 +113,7 @@
                 self.writes.put_nowait(fingerprint)
 
     def on_ended(self, endpoint: Endpoint, runs: list[EndedRun]) -> None:
-        """Take that an endpoint ended under calls of this entry, and tell of it."""
+        """Record that an endpoint ended under calls of this entry, and report it."""
         quarantine = self.quarantine
         accepted = [each for each in runs if quarantine.on_run_ended(*each)]
         for start in range(0, len(accepted), MAX_RUNS_PER_MESSAGE):
@@ -120,12 +123,12 @@
         self._schedule_decision()
 
     def on_sound(self, fingerprint: str) -> None:
-        """Take that a request ran well, and tell of it if that matters."""
+        """Clear a request that ran well; report it if there was evidence against it."""
         if self.quarantine.on_sound(fingerprint):
             self._broadcast(lambda: SoundMessage(self.boot, fingerprint))
 
     def on_message(self, message: FatalityMessage) -> None:
-        """Take what another entry tells; of a process that is none, nothing."""
+        """Apply a report of another entry; ignore those of unknown processes."""
         if not self.directory.is_announced(message.boot):
             log_decision("datagram refused", sender=message.boot, problem="no entry")
             return
@@ -138,7 +141,7 @@
                 self.quarantine.on_sound(message.fingerprint)
 
     def on_record(self, record: KeyedRecord) -> None:
-        """Take a record of the store; an empty one ends a quarantine."""
+        """Apply a record of the store; a tombstone ends a quarantine."""
         if not FINGERPRINT.fullmatch(record.key):
             log_decision("quarantine record refused", key=record.key)
         elif record.value:
@@ -148,13 +151,13 @@
             self._apply_removal(record.key)
 
     def on_snapshot(self, keys: frozenset[str], end: int) -> None:
-        """Take all keys there are: quarantines without one were ended meanwhile."""
+        """End recorded quarantines whose key is not in a snapshot."""
         for fingerprint in self.recorded - keys:
             self._apply_removal(fingerprint)
 
     def _apply_removal(self, fingerprint: str) -> None:
         self.recorded.discard(fingerprint)
-        self.quarantine.clear(fingerprint, "its record in the store has ended")
+        self.quarantine.clear(fingerprint, "its record in the store was removed")
 
     def _apply_end(self, message: EndpointEndedMessage) -> None:
         is_valid_name = len(message.endpoint) <= MAX_NAME_LENGTH
@@ -171,7 +174,7 @@
         self._schedule_decision()
 
     def _apply_quarantine(self, message: QuarantineMessage) -> None:
-        """Take a quarantine, or object if its request was answered a moment ago."""
+        """Apply a quarantine, or object to it if the request recently ran well."""
         fingerprint = message.fingerprint
         if not FINGERPRINT.fullmatch(fingerprint):
             return
@@ -179,7 +182,7 @@
             self._broadcast(lambda: SoundMessage(self.boot, fingerprint))
             return
         endpoints = message.endpoints[:MAX_ENDPOINTS_LISTED]
-        self.quarantine.put(fingerprint, f"{message.boot} told so", endpoints)
+        self.quarantine.put(fingerprint, f"reported by {message.boot}", endpoints)
         self.writes.put_nowait(fingerprint)
 
     def _schedule_decision(self) -> None:
@@ -216,7 +219,7 @@
         self._broadcast(message)
 
     def _broadcast(self, build: Callable[[], Message | None]) -> None:
-        """Send a message several times, made anew each time, unless it is void."""
+        """Send a message several times, built anew each time; skip it if it is None."""
         loop = get_running_loop()
         for pause in REPEAT_DELAYS:
             loop.call_later(pause, self._send, build)
@@ -227,7 +230,7 @@
             self.send_all(message, self.directory.others(self.boot))
 
     async def _write(self, fingerprint: str) -> bool:
-        """Write that a quarantine began or ended; return whether nothing is left."""
+        """Write the start or end of a quarantine; return whether that is done."""
         endpoints = self.quarantine.quarantined.get(fingerprint)
         if (endpoints is not None) == (fingerprint in self.recorded):
             return True
