--- a/tests/functional/test_cold_endpoints.py
+++ b/tests/functional/test_cold_endpoints.py
@@ -5,7 +5,7 @@
 
 from tests.lib.platform_fleet import COLD_SECONDS, Fleet
 from tests.lib.waiting import ticks, until
-from tests.unit.relay.cold_world import most_in_a_second
+from tests.unit.relay.cold_world import max_calls_per_second
 
 ENTRIES = 2
 ZONES = ("a", "b")
@@ -37,7 +37,7 @@
     for engine in engines:
         reached = [at for at in engine.reached_at if at < start + COLD_SECONDS]
         assert len(reached) >= LEAST_CALLS
-        assert most_in_a_second(reached) <= MOST_IN_A_SECOND
+        assert max_calls_per_second(reached) <= MOST_IN_A_SECOND
 
 
 def has_logged(entry: Any, message: str) -> bool:
--- a/tests/unit/relay/cold_world.py
+++ b/tests/unit/relay/cold_world.py
@@ -24,12 +24,12 @@
 COLD_SERVICE = SERVICE._replace(
     max_connections=10_000, cold_seconds=3.0, cold_rate=13.0
 )
-MOST_IN_A_SECOND = 13.0 * 1.5 + 5.0
+MAX_CALLS_PER_SECOND = 13.0 * 1.5 + 5.0
 ENDPOINTS = 24
 ZONES = ("a", "b", "c", "d")
-LONGEST_DELAY = 0.003
+MAX_DATAGRAM_DELAY = 0.003
 CALL_SECONDS = 0.3
-RETRY_PAUSE = 0.05
+RETRY_DELAY = 0.05
 CALL_TIMEOUT = 2.0
 
 
@@ -47,13 +47,13 @@
 class Outcome(NamedTuple):
     """The result of a simulated load.
 
-    ``most_in_a_second`` is the most calls that reached one cold endpoint in a second,
-    ``cold_calls`` all calls that reached cold endpoints.
+    ``max_calls_per_second`` is the most calls that reached one cold endpoint in a
+    second, ``cold_calls`` all calls that reached cold endpoints.
     """
 
     calls: int
     served: int
-    most_in_a_second: int
+    max_calls_per_second: int
     cold_calls: int
 
 
@@ -96,11 +96,11 @@
         self.gateways.put(name, item)
         self.desks[item.address] = QueueDesk(item.boot, self.answer, self.clock)
 
-    def deliver_later(self, deliver: object, *inputs: object) -> None:
+    def deliver_later(self, deliver: object, *arguments: object) -> None:
         """Deliver a datagram after a random delay, unless it is lost."""
         if self.random.random() >= self.loss:
-            delay = self.random.uniform(0.0005, LONGEST_DELAY)
-            get_running_loop().call_later(delay, deliver, *inputs)  # type: ignore[arg-type]
+            delay = self.random.uniform(0.0005, MAX_DATAGRAM_DELAY)
+            get_running_loop().call_later(delay, deliver, *arguments)  # type: ignore[arg-type]
 
     def answer(self, message: Message, to: Address) -> None:
         """Deliver a keeper's report to an entry."""
@@ -169,7 +169,7 @@
         while survey.is_rate_limited or not self.surveyor.is_usable(survey):
             if world.clock() >= until:
                 return False
-            await sleep(RETRY_PAUSE)
+            await sleep(RETRY_DELAY)
             survey = await self.surveyor.survey(admission, ())
         placement = survey.placement
         if placement is None:
@@ -178,7 +178,7 @@
         state.last_sent_at = world.clock()
         state.in_flight += 1
         self.probes.on_sent(state.endpoint, name, 1, placement.tokens, parts)
-        await sleep(world.random.uniform(0.001, LONGEST_DELAY))
+        await sleep(world.random.uniform(0.001, MAX_DATAGRAM_DELAY))
         world.arrivals[state.endpoint.name].append(world.clock())
         await sleep(CALL_SECONDS)
         self.probes.on_read(state.endpoint, name)
@@ -207,11 +207,11 @@
         tasks.append(create_task(entry.call(f"c{number}")))
     outcomes = await gather(*tasks)
     arrivals = world.cold_arrivals("b", start + load.evacuation_ended_at)
-    most = max(map(most_in_a_second, arrivals))
+    most = max(map(max_calls_per_second, arrivals))
     return Outcome(len(outcomes), sum(outcomes), most, sum(map(len, arrivals)))
 
 
-def most_in_a_second(times: list[float]) -> int:
+def max_calls_per_second(times: list[float]) -> int:
     """Return the largest number of times that lie within one second."""
     return max(
         (sum(first <= at < first + WINDOW_SECONDS for at in times) for first in times),
--- a/tests/unit/relay/test_cold_endpoints.py
+++ b/tests/unit/relay/test_cold_endpoints.py
@@ -11,7 +11,7 @@
 from tests.unit.relay.cold_world import (
     BOUND,
     COLD_SERVICE,
-    MOST_IN_A_SECOND,
+    MAX_CALLS_PER_SECOND,
     Load,
     Outcome,
     simulate,
@@ -19,7 +19,7 @@
 
 SIZES = [30, 400]
 LOW_RATE, BURST_RATE = 190.0, 400.0
-LEAST_COLD_RATE = 5.0
+MIN_COLD_RATE = 5.0
 """Least calls a second to a cold endpoint; guards against starving it."""
 
 COLD_ENDPOINTS = 6
@@ -40,14 +40,14 @@
     entries: int, rate: float
 ) -> None:
     outcome = outcome_of(entries, Load(rate))
-    assert outcome.most_in_a_second <= MOST_IN_A_SECOND
+    assert outcome.max_calls_per_second <= MAX_CALLS_PER_SECOND
     assert outcome.served >= 0.99 * outcome.calls
 
 
 @pytest.mark.parametrize("entries", SIZES)
 def test_cold_endpoints_are_not_starved(entries: int) -> None:
     outcome = outcome_of(entries, Load(BURST_RATE))
-    assert outcome.cold_calls >= COLD_ENDPOINTS * LEAST_COLD_RATE * COLD_LOAD_SECONDS
+    assert outcome.cold_calls >= COLD_ENDPOINTS * MIN_COLD_RATE * COLD_LOAD_SECONDS
 
 
 @pytest.mark.parametrize("entries", SIZES)
@@ -63,7 +63,7 @@
     ],
 )
 def test_the_limit_holds_under_faults(entries: int, load: Load) -> None:
-    assert outcome_of(entries, load).most_in_a_second <= MOST_IN_A_SECOND
+    assert outcome_of(entries, load).max_calls_per_second <= MAX_CALLS_PER_SECOND
 
 
 def cold_endpoints_with(now: list[float], names: int = 1) -> ColdEndpoints:
