--- a/tests/unit/relay/quarantine_world.py
+++ b/tests/unit/relay/quarantine_world.py
@@ -55,7 +55,7 @@
         for task in self.tasks:
             task.cancel()
 
-    def keeps_back(self, fingerprint: str = FATAL) -> bool:
+    def is_quarantined(self, fingerprint: str = FATAL) -> bool:
         """Tell whether a request is kept from endpoints here."""
         return self.quarantine.refusal(fingerprint) is not None
 
@@ -64,12 +64,12 @@
     """Entries, their store, and datagrams of which a part is lost."""
 
     def __init__(
-        self, entries: int, lost: float = 0.0, outages: Iterable[Outage] = ()
+        self, entries: int, loss_rate: float = 0.0, outages: Iterable[Outage] = ()
     ) -> None:
         self.random = Random(1)
-        self.lost = lost
+        self.loss_rate = loss_rate
         self.datagrams = 0
-        self.largest = 0
+        self.largest_datagram = 0
         self.numbers = count(1)
         self.store = StoreModel(tuple(outages))
         self.entries: dict[Address, QuarantineEntry] = {}
@@ -84,8 +84,8 @@
             replaced.end()
         self.entries[entry.address] = entry
         for other in self.entries.values():
-            _introduce(entry, other)
-            _introduce(other, entry)
+            _announce(entry, other)
+            _announce(other, entry)
         return entry
 
     def end(self) -> None:
@@ -100,10 +100,10 @@
     def send_all(self, message: Message, addresses: Iterable[Address]) -> None:
         """Deliver a datagram to several, to each of them if it isn't lost."""
         data = encoded(message)
-        self.largest = max(self.largest, len(data))
+        self.largest_datagram = max(self.largest_datagram, len(data))
         for address in addresses:
             self.datagrams += 1
-            if self.random.random() >= self.lost:
+            if self.random.random() >= self.loss_rate:
                 self._deliver(data, address)
 
     def _deliver(self, data: bytes, address: Address) -> None:
@@ -128,5 +128,5 @@
         return ended
 
 
-def _introduce(entry: QuarantineEntry, to: QuarantineEntry) -> None:
+def _announce(entry: QuarantineEntry, to: QuarantineEntry) -> None:
     to.directory.put(entry.name, Announcement(entry.boot, "z", *entry.address))
--- a/tests/unit/relay/test_quarantine.py
+++ b/tests/unit/relay/test_quarantine.py
@@ -44,153 +44,153 @@
 
 
 def test_three_ends_at_three_entries_keep_a_request_back_everywhere() -> None:
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(5)
         await end_in_turn(world, FATAL, ends=2)
-        assert not any(entry.keeps_back() for entry in world.all())
+        assert not any(entry.is_quarantined() for entry in world.all())
         await end_in_turn(world, FATAL, ends=1)
-        assert all(entry.keeps_back() for entry in world.all())
+        assert all(entry.is_quarantined() for entry in world.all())
         refusal = world.all()[0].quarantine.refusal(FATAL)
         assert refusal is not None
         assert refusal.reason is Reason.QUARANTINED
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_lost_datagrams_and_a_store_that_is_away_do_not_keep_it_from_any() -> None:
-    async def play() -> None:
-        world = QuarantineWorld(6, lost=0.3, outages=[Outage(0.0, 60.0)])
+    async def main() -> None:
+        world = QuarantineWorld(6, loss_rate=0.3, outages=[Outage(0.0, 60.0)])
         await end_in_turn(world, FATAL)
         await sleep(SPREAD_SECONDS)
-        assert all(entry.keeps_back() for entry in world.all())
+        assert all(entry.is_quarantined() for entry in world.all())
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_without_any_datagram_the_store_tells_of_it() -> None:
-    async def play() -> None:
-        world = QuarantineWorld(4, lost=1.0)
+    async def main() -> None:
+        world = QuarantineWorld(4, loss_rate=1.0)
         first = world.all()[0]
         for _ in range(3):
             world.end_endpoint(first, FATAL)
             await sleep(PAUSE)
         await sleep(SPREAD_SECONDS)
-        assert all(entry.keeps_back() for entry in world.all())
+        assert all(entry.is_quarantined() for entry in world.all())
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_an_entry_that_starts_anew_reads_it_from_the_store() -> None:
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(3)
         await end_in_turn(world, FATAL)
         await sleep(SPREAD_SECONDS)
         later = world.start(0)
-        assert not later.keeps_back()
+        assert not later.is_quarantined()
         await sleep(0.1)
-        assert later.keeps_back()
+        assert later.is_quarantined()
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_ends_that_others_remember_count_after_a_restart() -> None:
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(3)
         await end_in_turn(world, FATAL, ends=2)
         later = world.start(0)
         world.end_endpoint(later, FATAL)
         await sleep(SPREAD_SECONDS)
-        assert all(entry.keeps_back() for entry in world.all())
+        assert all(entry.is_quarantined() for entry in world.all())
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_a_whole_answer_at_any_entry_clears_a_request_at_all() -> None:
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(4)
         await end_in_turn(world, HARMLESS, ends=2)
         world.all()[3].sync.on_sound(HARMLESS)
         await sleep(SOUND_SECONDS + PAUSE)
         await end_in_turn(world, HARMLESS, ends=2)
-        assert not any(entry.keeps_back(HARMLESS) for entry in world.all())
+        assert not any(entry.is_quarantined(HARMLESS) for entry in world.all())
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_an_entry_that_has_just_had_a_whole_answer_objects() -> None:
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(4)
-        popular = world.all()[3]
+        successful = world.all()[3]
         for _ in range(4):
-            popular.sync.on_sound(HARMLESS)
+            successful.sync.on_sound(HARMLESS)
             world.end_endpoint(world.all()[0], HARMLESS)
             await sleep(PAUSE)
         await sleep(SPREAD_SECONDS)
-        assert not any(entry.keeps_back(HARMLESS) for entry in world.all())
+        assert not any(entry.is_quarantined(HARMLESS) for entry in world.all())
         assert all(not entry.sync.recorded for entry in world.all())
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_a_run_that_ends_well_after_the_quarantine_ends_it_everywhere() -> None:
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(3)
         await end_in_turn(world, HARMLESS)
         await sleep(SPREAD_SECONDS)
         world.all()[1].sync.on_sound(HARMLESS)
         await sleep(SPREAD_SECONDS)
-        assert not any(entry.keeps_back(HARMLESS) for entry in world.all())
-        assert not world.start(0).keeps_back(HARMLESS)
+        assert not any(entry.is_quarantined(HARMLESS) for entry in world.all())
+        assert not world.start(0).is_quarantined(HARMLESS)
         await sleep(0.1)
-        assert not world.all()[-1].keeps_back(HARMLESS)
+        assert not world.all()[-1].is_quarantined(HARMLESS)
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_an_operators_word_outlasts_what_is_told_late() -> None:
     """Datagrams are repeated for a second after what they tell."""
 
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(4)
         for entry in world.all()[:3]:
             world.end_endpoint(entry, FATAL)
             await sleep(0.15)
         await sleep(0.15)
-        assert all(entry.keeps_back() for entry in world.all())
+        assert all(entry.is_quarantined() for entry in world.all())
         log = ModelLog(world.store)
         await log.append(((FATAL, b""),), None)
         await sleep(SPREAD_SECONDS + SOUND_SECONDS)
-        assert not any(entry.keeps_back() for entry in world.all())
+        assert not any(entry.is_quarantined() for entry in world.all())
         assert not world.store.records[-1].value
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_endpoints_that_end_together_keep_nothing_back() -> None:
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(3)
         for entry in world.all() * 3:
             world.end_endpoint(entry, HARMLESS)
         await sleep(SPREAD_SECONDS)
-        assert not any(entry.keeps_back(HARMLESS) for entry in world.all())
+        assert not any(entry.is_quarantined(HARMLESS) for entry in world.all())
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_what_a_fatal_request_explains_counts_against_no_other() -> None:
     """A request that shares two of three ends is served on after the third."""
 
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(3)
         first, second, third = world.all()
         for _ in range(2):
@@ -201,18 +201,18 @@
         world.end_endpoint(second, HARMLESS)
         await sleep(SPREAD_SECONDS)
         for entry in world.all():
-            assert entry.keeps_back(FATAL)
-            assert not entry.keeps_back(HARMLESS)
+            assert entry.is_quarantined(FATAL)
+            assert not entry.is_quarantined(HARMLESS)
             assert not entry.quarantine.is_suspected(HARMLESS)
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_what_was_sent_to_an_endpoint_that_had_ended_is_no_evidence() -> None:
     """A balancer takes connections for an endpoint that has ended; word comes late."""
 
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(2)
         first, second = world.all()
         now = get_running_loop().time
@@ -227,31 +227,31 @@
             await sleep(PAUSE)
         await sleep(SPREAD_SECONDS)
         for entry in world.all():
-            assert entry.keeps_back(FATAL)
+            assert entry.is_quarantined(FATAL)
             assert HARMLESS not in entry.quarantine.evidence
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_an_endpoint_that_lives_takes_its_end_back() -> None:
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(2)
         ended = [world.end_endpoint(world.all()[0], HARMLESS)]
         await sleep(2 * PAUSE)
         for entry in world.all():
             entry.quarantine.on_alive(boot_name(ended[0]))
         await end_in_turn(world, HARMLESS, ends=2)
-        assert not any(entry.keeps_back(HARMLESS) for entry in world.all())
+        assert not any(entry.is_quarantined(HARMLESS) for entry in world.all())
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
-async def hold_forged(entry: QuarantineEntry) -> None:
+async def send_invalid_messages(entry: QuarantineEntry) -> None:
     """Send what a stranger, or a confused or late entry, may send."""
-    strange = EndpointEndedMessage("entry-9#1", "i-1/", 0.0, (ToldRun(FATAL, 1.0),))
-    entry.sync.on_message(strange)
+    foreign = EndpointEndedMessage("entry-9#1", "i-1/", 0.0, (ToldRun(FATAL, 1.0),))
+    entry.sync.on_message(foreign)
     entry.sync.on_message(QuarantineMessage("entry-9#1", FATAL, ()))
     known = entry.boot
     runs = (ToldRun("x", 1.0), ToldRun(FATAL, -1.0), ToldRun(FATAL, float("nan")))
@@ -263,20 +263,20 @@
 
 
 def test_foreign_damaged_and_late_datagrams_change_nothing() -> None:
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(1)
         entry = world.all()[0]
-        await hold_forged(entry)
+        await send_invalid_messages(entry)
         assert not entry.quarantine.evidence
         assert not entry.quarantine.quarantined
         assert not entry.quarantine.sound_at
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_repeated_datagrams_count_once() -> None:
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(2)
         entry = world.all()[0]
         runs = (ToldRun(FATAL, 0.2),)
@@ -287,7 +287,7 @@
         assert not entry.quarantine.is_suspected(FATAL)
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_a_flood_of_other_requests_pushes_nothing_out() -> None:
@@ -309,7 +309,7 @@
 
 
 def test_suspects_run_one_at_a_time_and_those_that_wait_hear_the_judgement() -> None:
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(1)
         entry = world.all()[0]
         quarantine = entry.quarantine
@@ -324,14 +324,14 @@
         assert refusal.reason is Reason.QUARANTINED
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
 
 
 def test_what_many_entries_say_of_one_end_is_bounded() -> None:
     """Each entry with calls there tells each other one three times, in one packet."""
     entries = 100
 
-    async def play() -> None:
+    async def main() -> None:
         world = QuarantineWorld(entries)
         busy = world.all()[:8]
         world.end_under(dict.fromkeys(busy, (HARMLESS, FATAL)))
@@ -339,7 +339,7 @@
         assert world.datagrams <= 3 * len(busy) * (entries - 1)
         world.end_endpoint(world.all()[0], *(f"{number:024x}" for number in range(64)))
         await sleep(SPREAD_SECONDS)
-        assert world.largest <= 1_400
+        assert world.largest_datagram <= 1_400
         world.end()
 
-    run_virtually(play())
+    run_virtually(main())
