--- a/tests/unit/relay/test_endpoint_ends.py
+++ b/tests/unit/relay/test_endpoint_ends.py
@@ -72,7 +72,7 @@
     await until(lambda: all(b.task is None for b in watched.ends.broken.values()))
 
 
-async def test_nobody_at_the_address_proves_the_end(watched: Watched) -> None:
+async def test_a_refused_connection_proves_the_end(watched: Watched) -> None:
     watched.ends.on_broken(watched.state, "a", 99.0)
     await looked(watched)
     assert watched.fingerprints() == {"a"}
@@ -153,7 +153,9 @@
     server.close()
 
 
-async def test_runs_last_on_until_the_first_look(watched: Watched) -> None:
+async def test_broken_runs_count_as_in_progress_until_the_first_check(
+    watched: Watched,
+) -> None:
     watched.ends.on_broken(watched.state, "a", 99.0)
     broken = watched.ends.broken[watched.boot]
     assert broken.held_runs.pop_all()  # what counts them has been entered
--- a/tests/unit/relay/test_endpoints.py
+++ b/tests/unit/relay/test_endpoints.py
@@ -126,7 +126,7 @@
     assert names(table) == set()
 
 
-def test_a_dark_endpoint_is_doubted_beyond_the_calls_that_were_given_up() -> None:
+def test_a_silent_endpoint_stays_doubted_after_its_calls_are_given_up() -> None:
     now = [100.0]
     table = table_at(lambda: now[0])
     put(table, "a", b"1")
@@ -164,7 +164,7 @@
     assert not state.is_doubted(100.1 + SILENT_SECONDS)
 
 
-def test_the_word_of_an_answer_outlasts_announcements_and_ends_with_the_boot() -> None:
+def test_leaving_by_an_answer_outlasts_announcements_until_the_next_boot() -> None:
     table = table_of(("a", b"1 pool 7"), ("b", b"2"))
     assert table.on_leaving(table.states["a"])
     put(table, "a", b"1 pool 7")
@@ -173,7 +173,7 @@
     assert names(table) == {"a", "b"}
 
 
-def test_an_endpoint_that_errs_about_leaving_gets_work_again() -> None:
+def test_an_endpoint_that_does_not_leave_after_all_gets_calls_again() -> None:
     table = table_of(("a", b"1"))
     table.on_leaving(table.states["a"])
     assert table.retry_delay("pool") == ALL_LEAVING_RETRY_DELAY
@@ -181,7 +181,7 @@
     assert names(table) == {"a"}
 
 
-def test_what_another_entry_tells_is_of_one_boot() -> None:
+def test_a_report_of_leaving_applies_to_one_boot() -> None:
     table = table_of(("a", b"1 pool 7"), ("b", b"2"))
     table.on_reported_leaving("a/6")
     table.on_reported_leaving("c/")
--- a/tests/unit/relay/test_following.py
+++ b/tests/unit/relay/test_following.py
@@ -77,13 +77,13 @@
 
 
 @pytest.mark.parametrize("writers", [0, 4, 54, 400])
-def test_reads_do_not_grow_with_those_that_write(writers: int) -> None:
+def test_reads_do_not_grow_with_the_number_of_writers(writers: int) -> None:
     reads, lag = run_virtually(follow(writers, is_busy=True))
     assert reads <= (SECONDS + WITHIN) / (BATCH_FRACTION * WITHIN) + 2
     assert lag <= WITHIN / 2
 
 
-def test_where_little_is_written_a_record_is_known_at_once() -> None:
+def test_a_record_is_read_at_once_if_few_are_written() -> None:
     reads, lag = run_virtually(follow(0, is_busy=False))
     assert reads <= (SECONDS + WITHIN) / (WAIT_FRACTION * WITHIN) + 2
     reads, lag = run_virtually(follow(1, is_busy=False))
--- a/tests/unit/relay/test_quarantine.py
+++ b/tests/unit/relay/test_quarantine.py
@@ -43,7 +43,7 @@
         await sleep(PAUSE)
 
 
-def test_three_ends_at_three_entries_keep_a_request_back_everywhere() -> None:
+def test_three_ends_at_three_entries_quarantine_a_request_everywhere() -> None:
     async def main() -> None:
         world = QuarantineWorld(5)
         await end_in_turn(world, FATAL, ends=2)
@@ -58,7 +58,7 @@
     run_virtually(main())
 
 
-def test_lost_datagrams_and_a_store_that_is_away_do_not_keep_it_from_any() -> None:
+def test_a_quarantine_spreads_despite_lost_datagrams_and_a_store_outage() -> None:
     async def main() -> None:
         world = QuarantineWorld(6, loss_rate=0.3, outages=[Outage(0.0, 60.0)])
         await end_in_turn(world, FATAL)
@@ -69,7 +69,7 @@
     run_virtually(main())
 
 
-def test_without_any_datagram_the_store_tells_of_it() -> None:
+def test_a_quarantine_spreads_through_the_store_without_datagrams() -> None:
     async def main() -> None:
         world = QuarantineWorld(4, loss_rate=1.0)
         first = world.all()[0]
@@ -155,7 +155,7 @@
     run_virtually(main())
 
 
-def test_an_operators_word_outlasts_what_is_told_late() -> None:
+def test_a_removal_by_an_operator_outlasts_late_reports() -> None:
     """Datagrams are repeated for a second after what they tell."""
 
     async def main() -> None:
@@ -175,7 +175,7 @@
     run_virtually(main())
 
 
-def test_endpoints_that_end_together_keep_nothing_back() -> None:
+def test_endpoints_that_end_together_quarantine_nothing() -> None:
     async def main() -> None:
         world = QuarantineWorld(3)
         for entry in world.all() * 3:
@@ -187,7 +187,7 @@
     run_virtually(main())
 
 
-def test_what_a_fatal_request_explains_counts_against_no_other() -> None:
+def test_ends_explained_by_a_fatal_request_count_against_no_other() -> None:
     """A request that shares two of three ends is served on after the third."""
 
     async def main() -> None:
@@ -209,7 +209,7 @@
     run_virtually(main())
 
 
-def test_what_was_sent_to_an_endpoint_that_had_ended_is_no_evidence() -> None:
+def test_runs_sent_after_the_end_of_an_endpoint_are_no_evidence() -> None:
     """A balancer takes connections for an endpoint that has ended; word comes late."""
 
     async def main() -> None:
@@ -234,7 +234,7 @@
     run_virtually(main())
 
 
-def test_an_endpoint_that_lives_takes_its_end_back() -> None:
+def test_an_endpoint_that_answers_invalidates_its_reported_end() -> None:
     async def main() -> None:
         world = QuarantineWorld(2)
         ended = [world.end_endpoint(world.all()[0], HARMLESS)]
@@ -290,7 +290,7 @@
     run_virtually(main())
 
 
-def test_a_flood_of_other_requests_pushes_nothing_out() -> None:
+def test_a_flood_of_other_requests_evicts_no_suspect() -> None:
     now = 0.0
     quarantine = Quarantine(lambda: now)
     for number in range(2):
@@ -308,7 +308,7 @@
     assert len(quarantine.quarantined) == MAX_QUARANTINED
 
 
-def test_suspects_run_one_at_a_time_and_those_that_wait_hear_the_judgement() -> None:
+def test_suspects_run_one_at_a_time_and_waiting_calls_get_the_decision() -> None:
     async def main() -> None:
         world = QuarantineWorld(1)
         entry = world.all()[0]
@@ -327,7 +327,7 @@
     run_virtually(main())
 
 
-def test_what_many_entries_say_of_one_end_is_bounded() -> None:
+def test_datagrams_about_one_end_are_bounded() -> None:
     """Each entry with calls there tells each other one three times, in one packet."""
     entries = 100
 
