--- a/tests/unit/relay/test_endpoint_ends.py
+++ b/tests/unit/relay/test_endpoint_ends.py
@@ -20,12 +20,12 @@
 from tests.lib.waiting import until
 
 
-class Watched(NamedTuple):
+class DetectorRig(NamedTuple):
     """An endpoint's address, the watch over it, and what it has told."""
 
     state: EndpointState
-    ends: EndDetector
-    told: list[EndedRun]
+    detector: EndDetector
+    reported: list[EndedRun]
     set_clock: Callable[[float], None]
 
     @property
@@ -35,17 +35,17 @@
 
     def fingerprints(self) -> set[str]:
         """Return the requests that are told of."""
-        return {each.fingerprint for each in self.told}
+        return {each.fingerprint for each in self.reported}
 
 
 @pytest.fixture
-async def watched() -> AsyncIterator[Watched]:
+async def rig() -> AsyncIterator[DetectorRig]:
     """Watch an endpoint at an address where nobody listens yet, from 100 s on."""
     times = [100.0]
     address = Address("127.0.0.1", free_port())
     endpoint = Endpoint("i-1", "pool", address, "z", 4, False)
     state = EndpointState(endpoint, 0.0)
-    told: list[EndedRun] = []
+    reported: list[EndedRun] = []
 
     def clock() -> float:
         return times[0]
@@ -54,109 +54,111 @@
         times[0] = at
 
     quarantine = Quarantine(clock)
-    ends = EndDetector(clock, quarantine.running, lambda _, runs: told.extend(runs))
-    yield Watched(state, ends, told, set_clock)
+    detector = EndDetector(
+        clock, quarantine.running, lambda _, runs: reported.extend(runs)
+    )
+    yield DetectorRig(state, detector, reported, set_clock)
 
 
-async def listen(watched: Watched) -> Server:
+async def listen(rig: DetectorRig) -> Server:
     """Listen at the endpoint's address, as it does while it lives."""
 
     async def take(reader: StreamReader, writer: StreamWriter) -> None:
         writer.close()
 
-    return await start_server(take, *watched.state.endpoint.address)
+    return await start_server(take, *rig.state.endpoint.address)
 
 
-async def looked(watched: Watched) -> None:
+async def wait_for_checks(rig: DetectorRig) -> None:
     """Wait until the watch has made its looks."""
-    await until(lambda: all(b.task is None for b in watched.ends.broken.values()))
+    await until(lambda: all(b.task is None for b in rig.detector.broken.values()))
 
 
-async def test_a_refused_connection_proves_the_end(watched: Watched) -> None:
-    watched.ends.on_broken(watched.state, "a", 99.0)
-    await looked(watched)
-    assert watched.fingerprints() == {"a"}
+async def test_a_refused_connection_proves_the_end(rig: DetectorRig) -> None:
+    rig.detector.on_broken(rig.state, "a", 99.0)
+    await wait_for_checks(rig)
+    assert rig.fingerprints() == {"a"}
 
 
 async def test_a_connection_that_broke_off_alone_proves_nothing(
-    watched: Watched,
+    rig: DetectorRig,
 ) -> None:
-    server = await listen(watched)
-    watched.ends.on_broken(watched.state, "a", 99.0)
-    await looked(watched)
-    assert not watched.told
+    server = await listen(rig)
+    rig.detector.on_broken(rig.state, "a", 99.0)
+    await wait_for_checks(rig)
+    assert not rig.reported
     server.close()
 
 
-async def test_what_broke_off_well_before_the_end_is_not_told(watched: Watched) -> None:
-    server = await listen(watched)
-    watched.ends.on_broken(watched.state, "reset before", 99.0)
-    await looked(watched)
+async def test_what_broke_off_well_before_the_end_is_not_told(rig: DetectorRig) -> None:
+    server = await listen(rig)
+    rig.detector.on_broken(rig.state, "reset before", 99.0)
+    await wait_for_checks(rig)
     server.close()
-    watched.set_clock(102.0)
-    watched.ends.on_broken(watched.state, "cause", 101.9)
-    await looked(watched)
-    assert watched.fingerprints() == {"cause"}
+    rig.set_clock(102.0)
+    rig.detector.on_broken(rig.state, "cause", 101.9)
+    await wait_for_checks(rig)
+    assert rig.fingerprints() == {"cause"}
 
 
 async def test_another_boot_proves_the_end_of_what_was_there_first(
-    watched: Watched,
+    rig: DetectorRig,
 ) -> None:
     """Something in front of the endpoint takes connections all the while."""
-    server = await listen(watched)
-    watched.state.on_heard(99.5)
-    watched.ends.on_broken(watched.state, "cause", 99.0)
-    await looked(watched)
-    watched.set_clock(101.0)
-    watched.ends.on_broken(watched.state, "sent when it had ended", 100.9)
-    await looked(watched)
-    watched.ends.on_gone(watched.state.endpoint)
-    assert watched.fingerprints() == {"cause"}
-    assert watched.told[0].run.ended_at == 100.0
+    server = await listen(rig)
+    rig.state.on_heard(99.5)
+    rig.detector.on_broken(rig.state, "cause", 99.0)
+    await wait_for_checks(rig)
+    rig.set_clock(101.0)
+    rig.detector.on_broken(rig.state, "sent when it had ended", 100.9)
+    await wait_for_checks(rig)
+    rig.detector.on_gone(rig.state.endpoint)
+    assert rig.fingerprints() == {"cause"}
+    assert rig.reported[0].run.ended_at == 100.0
     server.close()
 
 
 async def test_calls_to_an_endpoint_that_may_have_ended_before_are_not_told(
-    watched: Watched,
+    rig: DetectorRig,
 ) -> None:
     """An entry that has just started never heard from it; its connections are taken."""
-    server = await listen(watched)
-    watched.ends.on_broken(watched.state, "harmless", 99.0)
-    await looked(watched)
-    watched.ends.on_gone(watched.state.endpoint)
-    assert not watched.told
+    server = await listen(rig)
+    rig.detector.on_broken(rig.state, "harmless", 99.0)
+    await wait_for_checks(rig)
+    rig.detector.on_gone(rig.state.endpoint)
+    assert not rig.reported
     server.close()
 
 
-async def test_an_endpoint_that_answers_later_had_not_ended(watched: Watched) -> None:
-    server = await listen(watched)
-    watched.ends.on_broken(watched.state, "a", 99.0)
-    watched.ends.on_alive(watched.boot)
-    assert watched.boot in watched.ends.broken
-    watched.set_clock(100.0 + 2 * LATE_DATA_SECONDS)
-    watched.ends.on_alive(watched.boot)
-    watched.ends.on_gone(watched.state.endpoint)
-    assert not watched.told
+async def test_an_endpoint_that_answers_later_had_not_ended(rig: DetectorRig) -> None:
+    server = await listen(rig)
+    rig.detector.on_broken(rig.state, "a", 99.0)
+    rig.detector.on_alive(rig.boot)
+    assert rig.boot in rig.detector.broken
+    rig.set_clock(100.0 + 2 * LATE_DATA_SECONDS)
+    rig.detector.on_alive(rig.boot)
+    rig.detector.on_gone(rig.state.endpoint)
+    assert not rig.reported
     server.close()
 
 
 async def test_an_end_that_is_expected_or_proved_too_late_is_not_told(
-    watched: Watched,
+    rig: DetectorRig,
 ) -> None:
-    server = await listen(watched)
-    watched.ends.on_broken(watched.state, "a", 99.0)
-    await looked(watched)
-    watched.set_clock(100.0 + 2 * UNCONFIRMED_SECONDS)
-    watched.state.on_leaving(100.0)
-    watched.ends.on_broken(watched.state, "b", 99.0)
-    assert not watched.told
+    server = await listen(rig)
+    rig.detector.on_broken(rig.state, "a", 99.0)
+    await wait_for_checks(rig)
+    rig.set_clock(100.0 + 2 * UNCONFIRMED_SECONDS)
+    rig.state.on_leaving(100.0)
+    rig.detector.on_broken(rig.state, "b", 99.0)
+    assert not rig.reported
     server.close()
 
 
 async def test_broken_runs_count_as_in_progress_until_the_first_check(
-    watched: Watched,
+    rig: DetectorRig,
 ) -> None:
-    watched.ends.on_broken(watched.state, "a", 99.0)
-    broken = watched.ends.broken[watched.boot]
+    rig.detector.on_broken(rig.state, "a", 99.0)
+    broken = rig.detector.broken[rig.boot]
     assert broken.held_runs.pop_all()  # what counts them has been entered
-    await looked(watched)
+    await wait_for_checks(rig)
