--- a/tests/unit/relay/quarantine_world.py
+++ b/tests/unit/relay/quarantine_world.py
@@ -1,4 +1,4 @@
-"""Entries in virtual time that tell one another of requests that end endpoints."""
+"""Simulates entries that share quarantines of fatal requests, in virtual time."""
 
 from asyncio import Task, create_task, get_running_loop
 from collections.abc import Iterable
@@ -29,7 +29,7 @@
 
 
 class QuarantineEntry:
-    """One boot of an entry, as far as quarantines go."""
+    """The parts of one boot of an entry that handle quarantines."""
 
     def __init__(self, world: "QuarantineWorld", number: int) -> None:
         clock = get_running_loop().time
@@ -51,17 +51,17 @@
         ]
 
     def end(self) -> None:
-        """End without a word."""
+        """Stop without notifying other entries."""
         for task in self.tasks:
             task.cancel()
 
     def is_quarantined(self, fingerprint: str = FATAL) -> bool:
-        """Tell whether a request is kept from endpoints here."""
+        """Tell whether a request is quarantined at this entry."""
         return self.quarantine.refusal(fingerprint) is not None
 
 
 class QuarantineWorld:
-    """Entries, their store, and datagrams of which a part is lost."""
+    """Entries, their store, and a network that loses some datagrams."""
 
     def __init__(
         self, entries: int, loss_rate: float = 0.0, outages: Iterable[Outage] = ()
@@ -77,7 +77,7 @@
             self.start(number)
 
     def start(self, number: int) -> QuarantineEntry:
-        """Start an entry, or start it anew."""
+        """Start or restart an entry."""
         entry = QuarantineEntry(self, number)
         replaced = self.entries.pop(entry.address, None)
         if replaced is not None:
@@ -89,16 +89,16 @@
         return entry
 
     def end(self) -> None:
-        """End all entries."""
+        """Stop all entries."""
         for entry in self.entries.values():
             entry.end()
 
     def all(self) -> list[QuarantineEntry]:
-        """Return the entries that live."""
+        """Return the running entries."""
         return list(self.entries.values())
 
     def send_all(self, message: Message, addresses: Iterable[Address]) -> None:
-        """Deliver a datagram to several, to each of them if it isn't lost."""
+        """Send a datagram to each address; each copy may be lost."""
         data = encoded(message)
         self.largest_datagram = max(self.largest_datagram, len(data))
         for address in addresses:
@@ -115,11 +115,11 @@
         get_running_loop().call_later(DATAGRAM_SECONDS, take)
 
     def end_endpoint(self, entry: QuarantineEntry, *fingerprints: str) -> Endpoint:
-        """Let an endpoint end now under requests that ``entry`` sent a moment ago."""
+        """End an endpoint now under requests that ``entry`` recently sent to it."""
         return self.end_under({entry: fingerprints})
 
     def end_under(self, runs: dict[QuarantineEntry, tuple[str, ...]]) -> Endpoint:
-        """Let an endpoint end now under requests of several entries."""
+        """End an endpoint now under requests of several entries."""
         now = get_running_loop().time()
         ended = endpoint(next(self.numbers))
         for entry, fingerprints in runs.items():
