--- a/tests/unit/relay/cold_world.py
+++ b/tests/unit/relay/cold_world.py
@@ -34,7 +34,7 @@
 
 
 class Load(NamedTuple):
-    """Calls a second, the share of datagrams lost, and the injected faults."""
+    """Call rate in calls a second, share of lost datagrams, and injected faults."""
 
     rate: float
     seconds: float = 2.2
