--- a/tests/unit/relay/test_quarantine.py
+++ b/tests/unit/relay/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests an entry keeps back, and how entries tell one another."""
+"""Quarantine of requests, and its exchange between entries."""
 
 from asyncio import create_task, get_running_loop, sleep
 
@@ -29,14 +29,14 @@
 
 PAUSE = 0.5
 SPREAD_SECONDS = 2.0
-"""Within this all entries in touch know of a quarantine: less than the three seconds
-after which repetitions count."""
+"""Seconds within which all connected entries know of a quarantine; less than the three
+seconds after which further runs of a request count as evidence."""
 
 
 async def end_in_turn(
     world: QuarantineWorld, *fingerprints: str, ends: int = 3
 ) -> None:
-    """Let endpoints end one after the other, under calls of different entries."""
+    """End endpoints one after the other, under calls of different entries."""
     entries = world.all()
     for number in range(ends):
         world.end_endpoint(entries[number % len(entries)], *fingerprints)
@@ -156,7 +156,10 @@
 
 
 def test_a_removal_by_an_operator_outlasts_late_reports() -> None:
-    """Datagrams are repeated for a second after what they tell."""
+    """Guards against repeated datagrams that restore a quarantine after its removal.
+
+    Entries repeat their datagrams for a second.
+    """
 
     async def main() -> None:
         world = QuarantineWorld(4)
@@ -188,7 +191,7 @@
 
 
 def test_ends_explained_by_a_fatal_request_count_against_no_other() -> None:
-    """A request that shares two of three ends is served on after the third."""
+    """A request that shares two of the three ends of a fatal one stays served."""
 
     async def main() -> None:
         world = QuarantineWorld(3)
@@ -210,7 +213,7 @@
 
 
 def test_runs_sent_after_the_end_of_an_endpoint_are_no_evidence() -> None:
-    """A balancer takes connections for an endpoint that has ended; word comes late."""
+    """A load balancer accepts connections for ended endpoints; reports arrive late."""
 
     async def main() -> None:
         world = QuarantineWorld(2)
@@ -249,7 +252,7 @@
 
 
 async def send_invalid_messages(entry: QuarantineEntry) -> None:
-    """Send what a stranger, or a confused or late entry, may send."""
+    """Send reports of an unknown process, and invalid or late ones of an entry."""
     foreign = EndpointEndedMessage("entry-9#1", "i-1/", 0.0, (ToldRun(FATAL, 1.0),))
     entry.sync.on_message(foreign)
     entry.sync.on_message(QuarantineMessage("entry-9#1", FATAL, ()))
@@ -328,7 +331,7 @@
 
 
 def test_datagrams_about_one_end_are_bounded() -> None:
-    """Each entry with calls there tells each other one three times, in one packet."""
+    """Each entry with calls there sends each other entry three one-packet datagrams."""
     entries = 100
 
     async def main() -> None:
