--- a/tests/unit/relay/test_endpoint_ends.py
+++ b/tests/unit/relay/test_endpoint_ends.py
@@ -1,4 +1,4 @@
-"""What proves that an endpoint has ended, and which runs were there."""
+"""Detection of ended endpoints, and of the runs that they interrupted."""
 
 from asyncio import Server, StreamReader, StreamWriter, start_server
 from collections.abc import AsyncIterator, Callable
@@ -21,7 +21,7 @@
 
 
 class DetectorRig(NamedTuple):
-    """An endpoint's address, the watch over it, and what it has told."""
+    """An endpoint, its detector, and the runs that the detector reported."""
 
     state: EndpointState
     detector: EndDetector
@@ -30,17 +30,17 @@
 
     @property
     def boot(self) -> str:
-        """The endpoint's boot."""
+        """Name of the endpoint's boot."""
         return boot_name(self.state.endpoint)
 
     def fingerprints(self) -> set[str]:
-        """Return the requests that are told of."""
+        """Return the fingerprints of the reported runs."""
         return {each.fingerprint for each in self.reported}
 
 
 @pytest.fixture
 async def rig() -> AsyncIterator[DetectorRig]:
-    """Watch an endpoint at an address where nobody listens yet, from 100 s on."""
+    """Return a rig whose endpoint has a closed port; its clock starts at 100 s."""
     times = [100.0]
     address = Address("127.0.0.1", free_port())
     endpoint = Endpoint("i-1", "pool", address, "z", 4, False)
@@ -61,7 +61,7 @@
 
 
 async def listen(rig: DetectorRig) -> Server:
-    """Listen at the endpoint's address, as it does while it lives."""
+    """Listen at the endpoint's address, like a running endpoint."""
 
     async def take(reader: StreamReader, writer: StreamWriter) -> None:
         writer.close()
@@ -70,7 +70,7 @@
 
 
 async def wait_for_checks(rig: DetectorRig) -> None:
-    """Wait until the watch has made its looks."""
+    """Wait until the detector has finished its checks."""
     await until(lambda: all(b.task is None for b in rig.detector.broken.values()))
 
 
@@ -104,7 +104,7 @@
 async def test_another_boot_proves_the_end_of_what_was_there_first(
     rig: DetectorRig,
 ) -> None:
-    """Something in front of the endpoint takes connections all the while."""
+    """A proxy in front of the endpoint accepts connections throughout."""
     server = await listen(rig)
     rig.state.on_heard(99.5)
     rig.detector.on_broken(rig.state, "cause", 99.0)
@@ -121,7 +121,7 @@
 async def test_calls_to_an_endpoint_that_may_have_ended_before_are_not_told(
     rig: DetectorRig,
 ) -> None:
-    """An entry that has just started never heard from it; its connections are taken."""
+    """A new entry has no data from the endpoint; a proxy accepts its connections."""
     server = await listen(rig)
     rig.detector.on_broken(rig.state, "harmless", 99.0)
     await wait_for_checks(rig)
@@ -160,5 +160,7 @@
 ) -> None:
     rig.detector.on_broken(rig.state, "a", 99.0)
     broken = rig.detector.broken[rig.boot]
-    assert broken.held_runs.pop_all()  # what counts them has been entered
+    assert (
+        broken.held_runs.pop_all()
+    )  # the context that counts the run has been entered
     await wait_for_checks(rig)
