--- a/tests/unit/relay/test_endpoints.py
+++ b/tests/unit/relay/test_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that an entry knows, as their announcements come and go."""
+"""Table of endpoints, as announcements are added, changed and removed."""
 
 from collections.abc import Callable
 
@@ -21,7 +21,7 @@
 
 
 class Announced:
-    """Records of the form ``PORT[ SERVICE[ BOOT]]``."""
+    """Decodes announcements of the form ``PORT[ SERVICE[ BOOT]]``."""
 
     def configuration(self, value: bytes) -> Configuration:
         raise NotImplementedError
