--- a/tests/unit/relay/test_evacuations.py
+++ b/tests/unit/relay/test_evacuations.py
@@ -137,7 +137,7 @@
 def test_evacuations_spread_to_entries_that_cannot_read_the_store(
     count: int,
 ) -> None:
-    """One entry in ten reads the store; datagrams per entry are bounded."""
+    """Only one entry in ten reads the store; the total of datagrams is bounded."""
 
     async def main() -> EntryNetwork:
         entries = EntryNetwork(count)
