--- a/tests/unit/relay/test_fingerprints.py
+++ b/tests/unit/relay/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Which calls are the same request."""
+"""Fingerprints of requests and of their repetitions."""
 
 from clementinebend_relay.fingerprints import fingerprint_of
 from tests.unit.relay.calls import CALL
