--- a/tests/unit/relay/test_following.py
+++ b/tests/unit/relay/test_following.py
@@ -1,4 +1,4 @@
-"""How often an entry reads a partition, however many write there."""
+"""Rate of reads of a partition, and delay of its records, by number of writers."""
 
 from asyncio import Event, create_task, get_running_loop, sleep, timeout
 from contextlib import suppress
@@ -17,11 +17,11 @@
 WITHIN = 4.0
 SECONDS = 60.0
 HEARTBEAT = 1.2
-"""Seconds between announcements of one endpoint."""
+"""Interval in seconds between announcements of one endpoint."""
 
 
 class WaitingLog(FakeLog):
-    """A log whose reads wait for a record, and are counted."""
+    """Log whose reads wait for a record; counts its reads."""
 
     def __init__(self) -> None:
         super().__init__([], [])
@@ -43,7 +43,7 @@
 
 
 class Table:
-    """Notes when each record was read."""
+    """Records when each record was read."""
 
     def __init__(self) -> None:
         self.read_at: dict[int, float] = {}
@@ -52,11 +52,11 @@
         self.read_at[record.offset] = get_running_loop().time()
 
     def on_snapshot(self, keys: frozenset[str], end: int) -> None:
-        """Take nothing."""
+        """Ignore the snapshot."""
 
 
 async def follow(writers: int, is_busy: bool) -> tuple[int, float]:
-    """Return the reads of a minute, and the longest time until one was known."""
+    """Return the number of reads in a minute, and the longest delay of a record."""
     loop = get_running_loop()
     log, table = WaitingLog(), Table()
     reader = PartitionReader("f", log, table, loop.time, WITHIN, is_busy)
