--- a/tests/unit/relay/test_cold_endpoints.py
+++ b/tests/unit/relay/test_cold_endpoints.py
@@ -20,7 +20,7 @@
 SIZES = [30, 400]
 LOW_RATE, BURST_RATE = 190.0, 400.0
 MIN_COLD_RATE = 5.0
-"""Least calls a second to a cold endpoint; guards against starving it."""
+"""Minimum rate of calls to a cold endpoint a second; guards against starving it."""
 
 COLD_ENDPOINTS = 6
 COLD_LOAD_SECONDS = 1.7
