--- a/tests/unit/relay/test_starting_together.py
+++ b/tests/unit/relay/test_starting_together.py
@@ -1,4 +1,4 @@
-"""Entries that all start at once, before a store whose reading rate they share."""
+"""Many entries that start at once and share the read bandwidth of the store."""
 
 from asyncio import create_task, gather, get_running_loop, sleep, timeout
 
@@ -25,11 +25,11 @@
 BYTES_PER_SECOND = 80e6
 WITHIN = 4.0
 CHANGE_SECONDS = 9.0
-"""Seconds within which a change must be in force everywhere, at 370 entries too."""
+"""Maximum seconds until a change is in force at all entries, up to 370 of them."""
 
 
 class BusyStore:
-    """Answers one after the other; one that was given up has its turn all the same."""
+    """Store that serves reads one by one, including reads that timed out meanwhile."""
 
     def __init__(self, size: float) -> None:
         self.size = size
@@ -43,7 +43,7 @@
 
 
 class BusyLog(FakeLog):
-    """One entry's way to the busy store, with the time limits of a real one."""
+    """Log of one entry on the busy store, with the timeouts of a real one."""
 
     def __init__(self, store: BusyStore) -> None:
         super().__init__([], [])
@@ -67,20 +67,20 @@
 
 
 class Table:
-    """Notes when all was read first."""
+    """Records when the first snapshot was read."""
 
     def __init__(self) -> None:
         self.known_at: float | None = None
 
     def on_record(self, record: KeyedRecord) -> None:
-        """Take nothing."""
+        """Ignore the record."""
 
     def on_snapshot(self, keys: frozenset[str], end: int) -> None:
         self.known_at = get_running_loop().time()
 
 
 async def start(entries: int, size: float, seconds: float) -> list[float]:
-    """Return when each entry that had one by then read the configuration."""
+    """Return when each entry that got the configuration in time read it."""
     store = BusyStore(size)
     clock = get_running_loop().time
     tables = [Table() for _ in range(entries)]
@@ -99,8 +99,9 @@
     ("entries", "size"), [(4, 2.7e6), (41, 2.7e6), (68, 2.7e6), (370, 0.5e6)]
 )
 def test_all_get_a_large_configuration(entries: int, size: float) -> None:
-    # Of 41 entries that were killed and started together some took 7.2 s for what the
-    # store gives to all in 1.4 s: "no answer in time" 86 times, each call asked anew.
+    # Guards against read timeouts that are too short: reads that time out are repeated,
+    # which keeps the store busy. Of 41 entries that were killed and restarted together
+    # some took 7.2 s for what the store sends to all in 1.4 s; 86 reads timed out.
     known = run_virtually(start(entries, size, seconds=20.0))
     assert len(known) == entries
     assert max(known) < CHANGE_SECONDS
