--- a/tests/unit/relay/test_starting_together.py
+++ b/tests/unit/relay/test_starting_together.py
@@ -35,7 +35,7 @@
         self.size = size
         self.free_at = 0.0
 
-    async def turn(self) -> None:
+    async def serve_read(self) -> None:
         now = get_running_loop().time()
         begins_at = max(now, self.free_at)
         self.free_at = begins_at + self.size / BYTES_PER_SECOND
@@ -55,7 +55,7 @@
     ) -> NewestPage | StoreFailure:
         try:
             async with timeout(self.paths.limit + patience):
-                await self.store.turn()
+                await self.store.serve_read()
         except TimeoutError:
             self.paths.on_silence()
             return StoreFailure(True, "no answer in time")
