--- a/libs/relay/src/clementinebend_relay/endpoint_state.py
+++ b/libs/relay/src/clementinebend_relay/endpoint_state.py
@@ -118,12 +118,12 @@
 
     def silent_for(self, now: float) -> float:
         """Return for how long the endpoint has had calls to answer but sent no byte."""
-        owed = [call.since for call in self.unread.values()]
+        pending_since = [call.since for call in self.unread.values()]
         if self.is_streaming():
-            owed.append(self.heard_at)
-        if not owed:
+            pending_since.append(self.heard_at)
+        if not pending_since:
             return 0.0
-        return max(0.0, now - max(min(owed), self.heard_at))
+        return max(0.0, now - max(min(pending_since), self.heard_at))
 
     def is_streaming(self) -> bool:
         """Tell whether an answer of the endpoint has begun and not ended."""
--- a/libs/relay/src/clementinebend_relay/endpoints.py
+++ b/libs/relay/src/clementinebend_relay/endpoints.py
@@ -240,12 +240,12 @@
             log_decision("endpoint lapsed", endpoint=name)
 
     def _drop_lapsed(self, now: float) -> None:
-        gone = [
+        expired = [
             state
             for state in self.states.values()
             if state.lapsed_at is not None and now > state.lapsed_at + LAPSED_SECONDS
         ]
-        for state in gone:
+        for state in expired:
             self.drop(state, "its announcement expired")
 
     def _may_eject(self, service: str, now: float) -> bool:
