--- a/libs/relay/src/clementinebend_relay/quarantine_sync.py
+++ b/libs/relay/src/clementinebend_relay/quarantine_sync.py
@@ -164,13 +164,13 @@
         if not (is_valid_name and 0.0 <= message.ended_ago <= MAX_REPORT_AGE):
             return
         now = self.clock()
-        for told in message.runs[:MAX_RUNS_PER_MESSAGE]:
-            is_request = FINGERPRINT.fullmatch(told.fingerprint) is not None
-            if is_request and told.sent_ago >= message.ended_ago:
+        for reported in message.runs[:MAX_RUNS_PER_MESSAGE]:
+            is_request = FINGERPRINT.fullmatch(reported.fingerprint) is not None
+            if is_request and reported.sent_ago >= message.ended_ago:
                 run = FatalRun(
-                    message.endpoint, now - told.sent_ago, now - message.ended_ago
+                    message.endpoint, now - reported.sent_ago, now - message.ended_ago
                 )
-                self.quarantine.on_run_ended(told.fingerprint, run)
+                self.quarantine.on_run_ended(reported.fingerprint, run)
         self._schedule_decision()
 
     def _apply_quarantine(self, message: QuarantineMessage) -> None:
@@ -201,8 +201,8 @@
             endpoints = self.quarantine.quarantined.get(fingerprint)
             if endpoints is None:
                 return None
-            told = tuple(sorted(endpoints)[:MAX_ENDPOINTS_LISTED])
-            return QuarantineMessage(self.boot, fingerprint, told)
+            reported = tuple(sorted(endpoints)[:MAX_ENDPOINTS_LISTED])
+            return QuarantineMessage(self.boot, fingerprint, reported)
 
         self._broadcast(message)
 
@@ -211,9 +211,9 @@
 
         def message() -> Message:
             now = self.clock()
-            told = (ToldRun(name, now - run.sent_at) for name, run in runs)
+            reported = (ToldRun(name, now - run.sent_at) for name, run in runs)
             return EndpointEndedMessage(
-                self.boot, boot_name(endpoint), now - ended_at, tuple(told)
+                self.boot, boot_name(endpoint), now - ended_at, tuple(reported)
             )
 
         self._broadcast(message)
@@ -236,8 +236,8 @@
             return True
         value = b""
         if endpoints is not None:
-            told = tuple(sorted(endpoints)[:MAX_ENDPOINTS_LISTED])
-            value = encode(QuarantineRecord(self.boot, time(), told))
+            reported = tuple(sorted(endpoints)[:MAX_ENDPOINTS_LISTED])
+            value = encode(QuarantineRecord(self.boot, time(), reported))
         outcome = await self.log.append(((fingerprint, value),), None)
         if isinstance(outcome, StoreFailure):
             return False
