--- a/tests/unit/relay/cold_world.py
+++ b/tests/unit/relay/cold_world.py
@@ -151,9 +151,9 @@
     def send(self, message: Message, to: Address) -> None:
         """Send a datagram to the keeper of an endpoint's queue."""
         if not self.is_disconnected and isinstance(message, QueueMessage):
-            self.world.deliver_later(self.take, message, to)
+            self.world.deliver_later(self.receive, message, to)
 
-    def take(self, message: QueueMessage, to: Address) -> None:
+    def receive(self, message: QueueMessage, to: Address) -> None:
         """Pass a datagram to the keeper that has the address now."""
         self.world.desks[to].on_message(message, self.address)
 
--- a/tests/unit/relay/quarantine_world.py
+++ b/tests/unit/relay/quarantine_world.py
@@ -107,12 +107,12 @@
                 self._deliver(data, address)
 
     def _deliver(self, data: bytes, address: Address) -> None:
-        def take() -> None:
+        def receive() -> None:
             entry = self.entries.get(address)
             if entry is not None:
                 entry.sync.on_message(decoded(data))  # type: ignore[arg-type]
 
-        get_running_loop().call_later(DATAGRAM_SECONDS, take)
+        get_running_loop().call_later(DATAGRAM_SECONDS, receive)
 
     def end_endpoint(self, entry: QuarantineEntry, *fingerprints: str) -> Endpoint:
         """End an endpoint now under requests that ``entry`` recently sent to it."""
--- a/tests/unit/relay/test_endpoint_ends.py
+++ b/tests/unit/relay/test_endpoint_ends.py
@@ -63,10 +63,10 @@
 async def listen(rig: DetectorRig) -> Server:
     """Listen at the endpoint's address, like a running endpoint."""
 
-    async def take(reader: StreamReader, writer: StreamWriter) -> None:
+    async def accept(reader: StreamReader, writer: StreamWriter) -> None:
         writer.close()
 
-    return await start_server(take, *rig.state.endpoint.address)
+    return await start_server(accept, *rig.state.endpoint.address)
 
 
 async def wait_for_checks(rig: DetectorRig) -> None:
