--- a/libs/bench/src/clementinebend_bench/experiments/choice.py
+++ b/libs/bench/src/clementinebend_bench/experiments/choice.py
@@ -11,15 +11,15 @@
 from clementinebend_bench.rows import Row
 from clementinebend_records.identifiers import new_incarnation
 from clementinebend_relay.admission import Admitted
-from clementinebend_relay.announcing import Directory
 from clementinebend_relay.budgets import Budgets
 from clementinebend_relay.cold_endpoints import ColdEndpoints
+from clementinebend_relay.discovery import Directory
 from clementinebend_relay.dispatch import Dispatcher
-from clementinebend_relay.endpoint_ends import EndpointEnds
+from clementinebend_relay.end_detector import EndDetector
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.interfaces import HttpProtocol
-from clementinebend_relay.leaving_news import LeavingNews
+from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import (
     Call,
@@ -106,8 +106,8 @@
         cast(HttpProtocol, None),  # no request is sent
         RetryLimits(0.2, 50, 10),
         quarantine,
-        EndpointEnds(monotonic, quarantine.running, lambda endpoint, runs: None),
-        LeavingNews(boot, table, directory, _send_all),
+        EndDetector(monotonic, quarantine.running, lambda endpoint, runs: None),
+        LeavingNotifier(boot, table, directory, _send_all),
         monotonic,
     )
 
--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -9,18 +9,18 @@
 
 from clementinebend_bench.models.mark_store import ModelLog, StoreModel
 from clementinebend_records.identifiers import Incarnation
-from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.budgets import LONGEST_WAIT, Budgets, Reservation
 from clementinebend_relay.cold_endpoints import ColdEndpoints
+from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.evacuations import Evacuations
 from clementinebend_relay.interfaces import Unusable
-from clementinebend_relay.leaving_news import LeavingNews
+from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import CallerLimits, Configuration, Team
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.quarantine import Quarantine
-from clementinebend_relay.quarantine_news import QuarantineNews
+from clementinebend_relay.quarantine_sync import QuarantineSync
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.receiving import receive
@@ -79,7 +79,7 @@
         self.probes = QueueProbes(Directory(), self.directory, self.send, clock)
         self.queues = QueueDesk(self.boot, self.send, clock)
         self.quarantine = Quarantine(clock)
-        self.news = QuarantineNews(
+        self.news = QuarantineSync(
             self.boot,
             self.quarantine,
             self.directory,
@@ -89,7 +89,7 @@
         )
         cold = ColdEndpoints(self.name, self.directory, clock)
         table = EndpointTable(NoRecords(), cold, clock)
-        self.leaving = LeavingNews(self.boot, table, self.directory, self.send_all)
+        self.leaving = LeavingNotifier(self.boot, table, self.directory, self.send_all)
         self.evacuations = Evacuations(
             self.boot,
             NoRecords(),
--- a/libs/relay/src/clementinebend_relay/cold_endpoints.py
+++ b/libs/relay/src/clementinebend_relay/cold_endpoints.py
@@ -9,8 +9,8 @@
 from math import inf
 
 from clementinebend_membership.rendezvous import rendezvous
-from clementinebend_relay.announcing import Directory
 from clementinebend_relay.decisions import log_decision
+from clementinebend_relay.discovery import Directory
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.metrics import cold_endpoints
 from clementinebend_relay.models import Endpoint, Service, boot_name
@@ -22,12 +22,12 @@
     cold_limit,
 )
 
-LONGEST_COLD_SECONDS = 60.0
+MAX_COLD_SECONDS = 60.0
 """Upper limit in seconds of the cold time that an endpoint announces."""
 
 
 class ColdEndpoints:
-    """The cold endpoints and their call limits; all tasks of an entry share it."""
+    """The cold endpoints and their call limits; shared by all tasks of an entry."""
 
     def __init__(
         self, name: str, directory: Directory, clock: Callable[[], float]
@@ -54,7 +54,7 @@
     def on_announced(self, state: EndpointState) -> None:
         """Apply the remaining cold time of an endpoint's announcement."""
         now = self.clock()
-        cold_for = min(LONGEST_COLD_SECONDS, state.endpoint.cold_seconds)
+        cold_for = min(MAX_COLD_SECONDS, state.endpoint.cold_seconds)
         if cold_for > 0.0:
             state.cold_until = max(state.cold_until, now + cold_for)
         self.record_status(state)
@@ -74,7 +74,7 @@
         )
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Remove a boot of an endpoint that was dropped."""
+        """Stop counting a boot of an endpoint as cold; it was dropped."""
         self.cold_boots.discard(boot_name(endpoint))
         cold_endpoints.set(len(self.cold_boots))
 
@@ -89,7 +89,7 @@
         return self.clock() < max(state.cold_until, assumed_until)
 
     def permit_limit(self, state: EndpointState) -> PermitLimit | None:
-        """Return the current permit limit of an endpoint, none if it is unlimited."""
+        """Return the current permit limit of an endpoint, None if it is unlimited."""
         limit = self.limits.get(state.endpoint.service)
         if limit is None:
             return None
@@ -99,7 +99,8 @@
     def may_send(self, state: EndpointState, has_permit: bool | None) -> bool:
         """Tell whether a call may be sent to an endpoint now.
 
-        ``has_permit`` is the keeper's answer, none if its call count is not available.
+        ``has_permit`` is the answer of the process that counts the endpoint's calls,
+        None if its count is not available.
         """
         limit = self.limits.get(state.endpoint.service)
         if limit is None:
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -1,4 +1,4 @@
-"""One entry process on the direct path: its tasks and its planned stop."""
+"""The entry process: sets up its parts, runs its background tasks, and stops it."""
 
 from asyncio import Event, Task, create_task, gather, get_running_loop, sleep
 from collections.abc import Coroutine, Iterable
@@ -8,27 +8,31 @@
 from clementinebend_membership.rendezvous import rendezvous
 from clementinebend_platform_client.store_paths import Probe, StorePaths
 from clementinebend_platform_client.supervision import stop_process, watch
-from clementinebend_relay.announcing import Announcement, Directory, announce
 from clementinebend_relay.attempts import Attempts
 from clementinebend_relay.budgets import Budgets
 from clementinebend_relay.cold_endpoints import ColdEndpoints
 from clementinebend_relay.configuration import ConfigurationTable
 from clementinebend_relay.datagrams import DatagramSocket, open_socket
+from clementinebend_relay.discovery import Announcement, Directory, announce
 from clementinebend_relay.dispatch import Dispatcher
-from clementinebend_relay.endpoint_ends import EndpointEnds
+from clementinebend_relay.end_detector import EndDetector
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.evacuations import Evacuations
-from clementinebend_relay.following import DIRECTORY_WITHIN, CombinedTable, Follower
 from clementinebend_relay.handler import CallHandler
 from clementinebend_relay.interfaces import HttpProtocol, Logs, Records
-from clementinebend_relay.leaving_news import LeavingNews
+from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.mark_keeper import MarkKeeper
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import Configuration
+from clementinebend_relay.partition_reader import (
+    DIRECTORY_MAX_DELAY,
+    CombinedTable,
+    PartitionReader,
+)
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.plain import PlainRelay
 from clementinebend_relay.quarantine import Quarantine
-from clementinebend_relay.quarantine_news import QuarantineNews
+from clementinebend_relay.quarantine_sync import QuarantineSync
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.receiving import receive
@@ -48,20 +52,20 @@
 
 logger = getLogger(__name__)
 
-LISTEN_AFTER_STOP = 2.4
-"""Seconds for which new connections are still taken after the order to stop:
-the balancer asks each second, and looks twice before it turns away."""
+LISTEN_AFTER_STOP_SECONDS = 2.4
+"""Seconds for which new connections are accepted after the stop signal: the load
+balancer checks readiness every second and stops sending after two failed checks."""
 
-STOP_MARGIN = 0.4
-"""Seconds before the kill at which what still runs is cut off, so that what
-was spent is still written to the store."""
+STOP_MARGIN_SECONDS = 0.4
+"""Seconds kept free between the end of the stop sequence and the kill. Calls still in
+progress are cut off early enough for spent budgets to be written to the store."""
 
-LAST_COMMIT = 0.3
-"""Seconds for writing down what was spent, at the very end."""
+FINAL_WRITE_SECONDS = 0.3
+"""Seconds for the final write of spent budgets."""
 
 
 class RelayProcess:
-    """All that one entry is made of."""
+    """An entry with all its parts."""
 
     def __init__(
         self,
@@ -85,13 +89,13 @@
         self.entries = Directory()
         self.cold_endpoints = ColdEndpoints(settings.name, self.entries, clock)
         self.endpoints = EndpointTable(records, self.cold_endpoints, clock)
-        self.endpoints.on_known = self._on_known
+        self.endpoints.on_first_snapshot = self._update_readiness
         self.configuration = ConfigurationTable(records, self._configure)
         self.paths = paths
         self.probe = probe
         self.gateways = Directory(self._on_gateways)
         self.socket: DatagramSocket | None = None
-        self.desk = WitnessDesk(boot, self._send)
+        self.witness_desk = WitnessDesk(boot, self._send)
         self.witnesses = Witnesses(boot, settings.zone, self.entries, self._send, clock)
         self.budgets = Budgets(
             boot, logs.marks, self.witnesses, self.entries.has_successor, clock
@@ -110,35 +114,43 @@
         self.queues = QueueDesk(boot, self._send, clock)
         self.witnesses.is_needed = self.peers.homes.is_candidate
         quarantine = Quarantine(clock)
-        self.news = QuarantineNews(
+        self.sync = QuarantineSync(
             boot, quarantine, self.entries, logs.quarantine, self._send_all, clock
         )
-        self.leaving = LeavingNews(boot, self.endpoints, self.entries, self._send_all)
+        self.leaving = LeavingNotifier(
+            boot, self.endpoints, self.entries, self._send_all
+        )
         self.evacuations = Evacuations(
             boot, records, self.entries, self._send_all, self.endpoints.on_evacuation
         )
-        self.followers = (
-            Follower(
+        self.readers = (
+            PartitionReader(
                 "configuration",
                 logs.configuration,
                 CombinedTable((self.evacuations, self.configuration)),
                 clock,
-                min(settings.change_within, settings.evacuation_within),
+                min(settings.max_change_delay, settings.max_evacuation_delay),
             ),
-            Follower(
+            PartitionReader(
                 "endpoints",
                 logs.endpoints,
                 self.endpoints,
                 clock,
-                settings.leaving_within,
+                settings.max_leaving_delay,
                 is_busy=True,
             ),
-            Follower("entries", logs.entries, self.entries, clock, DIRECTORY_WITHIN),
-            Follower("gateways", logs.gateways, self.gateways, clock, DIRECTORY_WITHIN),
-            Follower("quarantine", logs.quarantine, self.news, clock, DIRECTORY_WITHIN),
+            PartitionReader(
+                "entries", logs.entries, self.entries, clock, DIRECTORY_MAX_DELAY
+            ),
+            PartitionReader(
+                "gateways", logs.gateways, self.gateways, clock, DIRECTORY_MAX_DELAY
+            ),
+            PartitionReader(
+                "quarantine", logs.quarantine, self.sync, clock, DIRECTORY_MAX_DELAY
+            ),
         )
         self.budgets.is_store_lost = lambda: any(
-            follower.lost_at is not None for follower in self.followers
+            reader.lost_at is not None for reader in self.readers
         )
         self.dispatcher = Dispatcher(
             settings.zone,
@@ -150,11 +162,11 @@
             protocol,
             settings.retries,
             quarantine,
-            EndpointEnds(clock, quarantine.running, self.news.on_ended),
+            EndDetector(clock, quarantine.running, self.sync.on_ended),
             self.leaving,
             clock,
         )
-        attempts = Attempts(self.dispatcher, self.news, clock)
+        attempts = Attempts(self.dispatcher, self.sync, clock)
         self.handler = CallHandler(
             protocol,
             self.configuration,
@@ -168,35 +180,35 @@
         )
         self.servers: list[HttpServer] = []
 
-    def jobs(self) -> list[Coroutine[Any, Any, None]]:
-        """Return what runs for ever."""
-        followers = [follower.run() for follower in self.followers]
-        keepers = [self._keep(keeper) for keeper in self.budgets.keepers]
+    def background_coroutines(self) -> list[Coroutine[Any, Any, None]]:
+        """Return the coroutines that run until the process stops."""
+        readers = [reader.run() for reader in self.readers]
+        keepers = [self._run_keeper(keeper) for keeper in self.budgets.keepers]
         settings = self.settings
         own = Announcement(
             self.boot, settings.zone, *settings.peers, cores=settings.cores
         )
         return [
-            *followers,
+            *readers,
             *keepers,
             announce(self.logs.entries, self.settings.name, own),
             self.peers.watch(),
             self.witnesses.run(),
-            self.news.run(),
+            self.sync.run(),
             self.paths.run(self.probe),
         ]
 
-    async def _keep(self, keeper: MarkKeeper) -> None:
-        """Keep marks once the other entries are known.
+    async def _run_keeper(self, keeper: MarkKeeper) -> None:
+        """Run a mark keeper once the other entries are known.
 
-        Before that each entry would take itself for the home of all budgets, and
-        all together take far more of them than a home may keep.
+        Before that each entry would consider itself the home of every budget, and all
+        entries together would reserve far more than one home may hold.
         """
         await self.entries.known.wait()
         await keeper.run()
 
     async def listen(self, metrics_port: int) -> None:
-        """Listen to callers, to the balancer and for questions about metrics."""
+        """Listen for callers, readiness checks, metrics scrapes and datagrams."""
         callers, ready = self.settings.callers, self.settings.ready
         self.socket = await open_socket(self.settings.peers, self._on_message)
         limits = ServerLimits()
@@ -207,7 +219,7 @@
         ]
 
     def reload(self, settings: RelaySettings, store: Address) -> None:
-        """Take changed settings; addresses that are bound stay as they are."""
+        """Apply changed settings; bound addresses keep their old values."""
         bound = self.settings
         self.settings = settings._replace(
             callers=bound.callers, ready=bound.ready, peers=bound.peers
@@ -217,27 +229,27 @@
         self.paths.move(store)
 
     def is_ready(self) -> bool:
-        """Tell whether callers should come here."""
+        """Tell whether the load balancer should send callers here."""
         return self.known.is_set() and not self.is_stopping
 
     async def stop(self) -> int:
-        """End in order; return the exit code."""
+        """Stop gracefully; return the exit code."""
         kill_at = self.clock() + self.settings.grace
         self.is_stopping = True
         self.peers.resign()
         callers = self.servers[0]
         callers.announce_end()
-        await sleep(LISTEN_AFTER_STOP)
+        await sleep(LISTEN_AFTER_STOP_SECONDS)
         get_running_loop().call_later(DRAIN_GRACE_SECONDS, self.budgets.close)
-        left = kill_at - STOP_MARGIN - LAST_COMMIT - self.clock()
-        is_whole = await callers.drain(max(0.0, left))
-        await self.budgets.release(LAST_COMMIT)
+        remaining = kill_at - STOP_MARGIN_SECONDS - FINAL_WRITE_SECONDS - self.clock()
+        is_drained = await callers.drain(max(0.0, remaining))
+        await self.budgets.release(FINAL_WRITE_SECONDS)
         for server in self.servers:
             await server.close()
         await self.client.close()
         if self.socket is not None:
             self.socket.close()
-        return EXIT_OK if is_whole else EXIT_STOP_INCOMPLETE
+        return EXIT_OK if is_drained else EXIT_STOP_INCOMPLETE
 
     def _send(self, message: Message, address: Address) -> None:
         if self.socket is not None:
@@ -252,11 +264,11 @@
             message,
             sender,
             self.peers,
-            self.desk,
+            self.witness_desk,
             self.witnesses,
             self.probes,
             self.queues,
-            self.news,
+            self.sync,
             self.leaving,
             self.evacuations,
         )
@@ -266,13 +278,13 @@
         ranked = rendezvous(self.boot, announced, len(announced))
         self.paths.gateways = [announced[name].address for name in ranked]
 
-    def _on_known(self) -> None:
-        """Let calls go on once the first view of all they need is complete."""
-        if self.configuration.current is not None and self.endpoints.is_known:
+    def _update_readiness(self) -> None:
+        """Become ready once the configuration and the endpoints have been read."""
+        if self.configuration.current is not None and self.endpoints.has_snapshot:
             self.known.set()
 
     def _configure(self, configuration: Configuration) -> None:
-        self._on_known()
+        self._update_readiness()
         self.endpoints.configure(configuration.services)
         self.cold_endpoints.configure(
             configuration.services.values(), self.settings.cold_bound
@@ -300,21 +312,21 @@
 
 
 async def run_relay(process: RelayProcess, metrics_port: int, stop: Event) -> int:
-    """Serve until ``stop`` is set, then end in order; return the exit code."""
+    """Serve until ``stop`` is set, then stop gracefully; return the exit code."""
     await process.listen(metrics_port)
     logger.info("started", extra={"entry": process.settings.name})
-    tasks = [create_task(job) for job in process.jobs()]
+    tasks = [create_task(job) for job in process.background_coroutines()]
     for task in tasks:
         watch(task, stop_process)
     await stop.wait()
     code = await process.stop()
-    await end_all(tasks)
+    await cancel_all(tasks)
     logger.info("stopped", extra={"code": code})
     return code
 
 
-async def end_all(tasks: list[Task[Any]]) -> None:
-    """Cancel the tasks that run for ever."""
+async def cancel_all(tasks: list[Task[Any]]) -> None:
+    """Cancel tasks and wait until they have ended."""
     for task in tasks:
         task.cancel()
     await gather(*tasks, return_exceptions=True)
--- a/libs/relay/src/clementinebend_relay/receiving.py
+++ b/libs/relay/src/clementinebend_relay/receiving.py
@@ -1,7 +1,7 @@
-"""Where a datagram goes that has come."""
+"""Passes received messages to the parts of an entry that handle them."""
 
 from clementinebend_relay.evacuations import Evacuations
-from clementinebend_relay.leaving_news import LeavingNews
+from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.messages import (
     AskMessage,
     AttestationMessage,
@@ -20,7 +20,7 @@
     SentMessage,
 )
 from clementinebend_relay.peers import Peers
-from clementinebend_relay.quarantine_news import QuarantineNews
+from clementinebend_relay.quarantine_sync import QuarantineSync
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.witness import WitnessDesk
@@ -32,15 +32,15 @@
     message: Message,
     sender: Address,
     peers: Peers,
-    desk: WitnessDesk,
+    witness_desk: WitnessDesk,
     witnesses: Witnesses,
     probes: QueueProbes,
     queues: QueueDesk,
-    news: QuarantineNews,
-    leaving: LeavingNews,
+    sync: QuarantineSync,
+    leaving: LeavingNotifier,
     evacuations: Evacuations,
 ) -> None:
-    """Hand a message from ``sender`` to the part of the entry that it is for."""
+    """Pass a message from ``sender`` to the part of the entry that handles it."""
     match message:
         case LeavingMessage():
             peers.on_leaving(message)
@@ -49,9 +49,9 @@
         case GiftMessage():
             peers.on_gift(message)
         case OpenMessage():
-            desk.on_open(message, sender)
+            witness_desk.on_open(message, sender)
         case FenceMessage():
-            desk.on_fence(message, sender)
+            witness_desk.on_fence(message, sender)
         case AttestationMessage():
             peers.on_heard(message.witness)
             witnesses.on_answer(message)
@@ -62,16 +62,16 @@
         case EvacuationMessage():
             evacuations.on_message(message)
         case _:
-            _receive_of_endpoints(message, news, leaving)
+            _receive_endpoint_message(message, sync, leaving)
 
 
-def _receive_of_endpoints(
+def _receive_endpoint_message(
     message: FatalityMessage | EndpointLeavingMessage,
-    news: QuarantineNews,
-    leaving: LeavingNews,
+    sync: QuarantineSync,
+    leaving: LeavingNotifier,
 ) -> None:
-    """Hand on what another entry has heard or seen of endpoints."""
+    """Pass on a message about endpoints or about requests that end them."""
     if isinstance(message, EndpointLeavingMessage):
         leaving.on_message(message)
     else:
-        news.on_message(message)
+        sync.on_message(message)
--- a/tests/unit/relay/quarantine_world.py
+++ b/tests/unit/relay/quarantine_world.py
@@ -1,4 +1,4 @@
-"""Entries in virtual time that tell one another of requests that end endpoints."""
+"""Simulates entries that share quarantines of fatal requests, in virtual time."""
 
 from asyncio import Task, create_task, get_running_loop
 from collections.abc import Iterable
@@ -7,13 +7,13 @@
 
 from clementinebend_bench.models.mark_store import ModelLog, Outage, StoreModel
 from clementinebend_records.identifiers import Incarnation, new_incarnation
-from clementinebend_relay.announcing import Announcement, Directory
-from clementinebend_relay.endpoint_ends import EndedRun
-from clementinebend_relay.following import DIRECTORY_WITHIN, Follower
+from clementinebend_relay.discovery import Announcement, Directory
+from clementinebend_relay.end_detector import EndedRun
 from clementinebend_relay.messages import Message, decoded, encoded
 from clementinebend_relay.models import Endpoint, boot_name
+from clementinebend_relay.partition_reader import DIRECTORY_MAX_DELAY, PartitionReader
 from clementinebend_relay.quarantine import Quarantine
-from clementinebend_relay.quarantine_news import QuarantineNews
+from clementinebend_relay.quarantine_sync import QuarantineSync
 from clementinebend_routing.fatal_runs import FatalRun
 from clementinebend_transport.client_connection import Address
 
@@ -29,7 +29,7 @@
 
 
 class QuarantineEntry:
-    """One boot of an entry, as far as quarantines go."""
+    """The parts of one boot of an entry that handle quarantines."""
 
     def __init__(self, world: "QuarantineWorld", number: int) -> None:
         clock = get_running_loop().time
@@ -39,35 +39,37 @@
         self.quarantine = Quarantine(clock)
         self.directory = Directory()
         log = ModelLog(world.store)
-        self.news = QuarantineNews(
+        self.sync = QuarantineSync(
             self.boot, self.quarantine, self.directory, log, world.send_all, clock
         )
-        follower = Follower("quarantine", log, self.news, clock, DIRECTORY_WITHIN)
+        reader = PartitionReader(
+            "quarantine", log, self.sync, clock, DIRECTORY_MAX_DELAY
+        )
         self.tasks: list[Task[None]] = [
-            create_task(self.news.run()),
-            create_task(follower.run()),
+            create_task(self.sync.run()),
+            create_task(reader.run()),
         ]
 
     def end(self) -> None:
-        """End without a word."""
+        """Stop without notifying other entries."""
         for task in self.tasks:
             task.cancel()
 
-    def keeps_back(self, fingerprint: str = FATAL) -> bool:
-        """Tell whether a request is kept from endpoints here."""
+    def is_quarantined(self, fingerprint: str = FATAL) -> bool:
+        """Tell whether a request is quarantined at this entry."""
         return self.quarantine.refusal(fingerprint) is not None
 
 
 class QuarantineWorld:
-    """Entries, their store, and datagrams of which a part is lost."""
+    """Entries, their store, and a network that loses some datagrams."""
 
     def __init__(
-        self, entries: int, lost: float = 0.0, outages: Iterable[Outage] = ()
+        self, entries: int, loss_rate: float = 0.0, outages: Iterable[Outage] = ()
     ) -> None:
         self.random = Random(1)
-        self.lost = lost
+        self.loss_rate = loss_rate
         self.datagrams = 0
-        self.largest = 0
+        self.largest_datagram = 0
         self.numbers = count(1)
         self.store = StoreModel(tuple(outages))
         self.entries: dict[Address, QuarantineEntry] = {}
@@ -75,56 +77,56 @@
             self.start(number)
 
     def start(self, number: int) -> QuarantineEntry:
-        """Start an entry, or start it anew."""
+        """Start or restart an entry."""
         entry = QuarantineEntry(self, number)
         replaced = self.entries.pop(entry.address, None)
         if replaced is not None:
             replaced.end()
         self.entries[entry.address] = entry
         for other in self.entries.values():
-            _introduce(entry, other)
-            _introduce(other, entry)
+            _announce(entry, other)
+            _announce(other, entry)
         return entry
 
     def end(self) -> None:
-        """End all entries."""
+        """Stop all entries."""
         for entry in self.entries.values():
             entry.end()
 
     def all(self) -> list[QuarantineEntry]:
-        """Return the entries that live."""
+        """Return the running entries."""
         return list(self.entries.values())
 
     def send_all(self, message: Message, addresses: Iterable[Address]) -> None:
-        """Deliver a datagram to several, to each of them if it isn't lost."""
+        """Send a datagram to each address; each copy may be lost."""
         data = encoded(message)
-        self.largest = max(self.largest, len(data))
+        self.largest_datagram = max(self.largest_datagram, len(data))
         for address in addresses:
             self.datagrams += 1
-            if self.random.random() >= self.lost:
+            if self.random.random() >= self.loss_rate:
                 self._deliver(data, address)
 
     def _deliver(self, data: bytes, address: Address) -> None:
-        def take() -> None:
+        def receive() -> None:
             entry = self.entries.get(address)
             if entry is not None:
-                entry.news.on_message(decoded(data))  # type: ignore[arg-type]
+                entry.sync.on_message(decoded(data))  # type: ignore[arg-type]
 
-        get_running_loop().call_later(DATAGRAM_SECONDS, take)
+        get_running_loop().call_later(DATAGRAM_SECONDS, receive)
 
     def end_endpoint(self, entry: QuarantineEntry, *fingerprints: str) -> Endpoint:
-        """Let an endpoint end now under requests that ``entry`` sent a moment ago."""
+        """End an endpoint now under requests that ``entry`` recently sent to it."""
         return self.end_under({entry: fingerprints})
 
     def end_under(self, runs: dict[QuarantineEntry, tuple[str, ...]]) -> Endpoint:
-        """Let an endpoint end now under requests of several entries."""
+        """End an endpoint now under requests of several entries."""
         now = get_running_loop().time()
         ended = endpoint(next(self.numbers))
         for entry, fingerprints in runs.items():
             run = FatalRun(boot_name(ended), now - RUN_SECONDS, now)
-            entry.news.on_ended(ended, [EndedRun(name, run) for name in fingerprints])
+            entry.sync.on_ended(ended, [EndedRun(name, run) for name in fingerprints])
         return ended
 
 
-def _introduce(entry: QuarantineEntry, to: QuarantineEntry) -> None:
+def _announce(entry: QuarantineEntry, to: QuarantineEntry) -> None:
     to.directory.put(entry.name, Announcement(entry.boot, "z", *entry.address))
--- a/tests/unit/relay/test_endpoints.py
+++ b/tests/unit/relay/test_endpoints.py
@@ -1,16 +1,16 @@
-"""The endpoints that an entry knows, as their announcements come and go."""
+"""Table of endpoints, as announcements are added, changed and removed."""
 
 from collections.abc import Callable
 
 from clementinebend_platform_client.keyed_log import KeyedRecord
-from clementinebend_relay.announcing import Directory
 from clementinebend_relay.cold_endpoints import ColdEndpoints
+from clementinebend_relay.discovery import Directory
 from clementinebend_relay.endpoint_state import (
     LEAVING_SECONDS,
-    LONGEST_PAUSE,
-    Unread,
+    MAX_PAUSE,
+    UnreadCall,
 )
-from clementinebend_relay.endpoints import ALL_LEAVE_PAUSE, EndpointTable
+from clementinebend_relay.endpoints import ALL_LEAVING_RETRY_DELAY, EndpointTable
 from clementinebend_relay.interfaces import Unusable
 from clementinebend_relay.models import Configuration, Endpoint
 from clementinebend_routing.silence import ANNOUNCED_LATE, SILENT_SECONDS
@@ -21,7 +21,7 @@
 
 
 class Announced:
-    """Records of the form ``PORT[ SERVICE[ BOOT]]``."""
+    """Decodes announcements of the form ``PORT[ SERVICE[ BOOT]]``."""
 
     def configuration(self, value: bytes) -> Configuration:
         raise NotImplementedError
@@ -83,12 +83,12 @@
     dropped: list[Endpoint] = []
     table.on_drop = dropped.append
     earlier = table.states["a"]
-    earlier.add_unread("r", Unread(1, 9_000, 0.0, 100.0, None))
+    earlier.add_unread("r", UnreadCall(1, 9_000, 0.0, 100.0, None))
     earlier.in_flight = 3
     put(table, "a", b"1 pool 8")
     later = table.states["a"]
     assert later is not earlier
-    assert (later.in_flight, later.ahead_of(9), later.unread) == (0, 0, {})
+    assert (later.in_flight, later.tokens_ahead(9), later.unread) == (0, 0, {})
     assert [endpoint.boot for endpoint in dropped] == [7]
 
 
@@ -126,16 +126,16 @@
     assert names(table) == set()
 
 
-def test_a_dark_endpoint_is_doubted_beyond_the_calls_that_were_given_up() -> None:
+def test_a_silent_endpoint_stays_doubted_after_its_calls_are_given_up() -> None:
     now = [100.0]
     table = table_at(lambda: now[0])
     put(table, "a", b"1")
     state = table.states["a"]
-    state.add_unread("r", Unread(1, 900, 0.0, now[0], None))
+    state.add_unread("r", UnreadCall(1, 900, 0.0, now[0], None))
     state.in_flight = 1
     now[0] += 1.01 * SILENT_SECONDS
     assert state.is_doubted(now[0])
-    state.take_unread("r")
+    state.pop_unread("r")
     state.in_flight = 0
     now[0] += 0.5
     assert state.is_doubted(now[0])
@@ -156,15 +156,15 @@
 
 def test_a_plain_service_at_work_for_long_is_avoided_and_not_doubted() -> None:
     state = table_of(("a", b"1")).states["a"]
-    state.add_unread("r", Unread(1, 0, 0.0, 100.0, None))
+    state.add_unread("r", UnreadCall(1, 0, 0.0, 100.0, None))
     state.in_flight = 1
     assert state.is_doubted(100.1 + SILENT_SECONDS)
-    state.take_unread("r")
+    state.pop_unread("r")
     state.in_flight = 0
     assert not state.is_doubted(100.1 + SILENT_SECONDS)
 
 
-def test_the_word_of_an_answer_outlasts_announcements_and_ends_with_the_boot() -> None:
+def test_leaving_by_an_answer_outlasts_announcements_until_the_next_boot() -> None:
     table = table_of(("a", b"1 pool 7"), ("b", b"2"))
     assert table.on_leaving(table.states["a"])
     put(table, "a", b"1 pool 7")
@@ -173,31 +173,31 @@
     assert names(table) == {"a", "b"}
 
 
-def test_an_endpoint_that_errs_about_leaving_gets_work_again() -> None:
+def test_an_endpoint_that_does_not_leave_after_all_gets_calls_again() -> None:
     table = table_of(("a", b"1"))
     table.on_leaving(table.states["a"])
-    assert table.pause_left("pool") == ALL_LEAVE_PAUSE
+    assert table.retry_delay("pool") == ALL_LEAVING_RETRY_DELAY
     table.clock = lambda: 100.0 + LEAVING_SECONDS
     assert names(table) == {"a"}
 
 
-def test_what_another_entry_tells_is_of_one_boot() -> None:
+def test_a_report_of_leaving_applies_to_one_boot() -> None:
     table = table_of(("a", b"1 pool 7"), ("b", b"2"))
-    table.on_told_leaving("a/6")
-    table.on_told_leaving("c/")
+    table.on_reported_leaving("a/6")
+    table.on_reported_leaving("c/")
     assert names(table) == {"a", "b"}
-    table.on_told_leaving("a/7")
+    table.on_reported_leaving("a/7")
     assert names(table) == {"b"}
 
 
 def test_a_pause_is_bounded_and_the_shortest_one_counts_for_callers() -> None:
     table = table_of(("a", b"1"), ("b", b"2"))
     table.states["a"].on_pause(1e9, table.clock())
-    assert table.pause_left("pool") is None
+    assert table.retry_delay("pool") is None
     table.states["b"].on_pause(2.0, table.clock())
-    assert table.pause_left("pool") == 2.0
+    assert table.retry_delay("pool") == 2.0
     assert names(table) == set()
     table.clock = lambda: 102.0
     assert names(table) == {"b"}
-    table.clock = lambda: 100.0 + LONGEST_PAUSE
+    table.clock = lambda: 100.0 + MAX_PAUSE
     assert names(table) == {"a", "b"}
--- a/tests/unit/relay/test_evacuations.py
+++ b/tests/unit/relay/test_evacuations.py
@@ -10,7 +10,7 @@
 from clementinebend_bench.models.virtual_loop import run_virtually
 from clementinebend_platform.records import PlatformRecords
 from clementinebend_platform_client.keyed_log import KeyedRecord
-from clementinebend_relay.announcing import Announcement, Directory
+from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.evacuations import MAX_KNOWN_ZONES, Evacuations
 from clementinebend_relay.messages import EvacuationMessage, Message
 from clementinebend_transport.client_connection import Address
@@ -137,7 +137,7 @@
 def test_evacuations_spread_to_entries_that_cannot_read_the_store(
     count: int,
 ) -> None:
-    """One entry in ten reads the store; datagrams per entry are bounded."""
+    """Only one entry in ten reads the store; the total of datagrams is bounded."""
 
     async def main() -> EntryNetwork:
         entries = EntryNetwork(count)
--- a/tests/unit/relay/test_following.py
+++ b/tests/unit/relay/test_following.py
@@ -1,4 +1,4 @@
-"""How often an entry reads a partition, however many write there."""
+"""Rate of reads of a partition, and delay of its records, by number of writers."""
 
 from asyncio import Event, create_task, get_running_loop, sleep, timeout
 from contextlib import suppress
@@ -7,17 +7,21 @@
 
 from clementinebend_bench.models.virtual_loop import run_virtually
 from clementinebend_platform_client.keyed_log import KeyedRecord, Page
-from clementinebend_relay.following import BATCH_PART, WAIT_PART, Follower
+from clementinebend_relay.partition_reader import (
+    BATCH_FRACTION,
+    WAIT_FRACTION,
+    PartitionReader,
+)
 from tests.unit.relay.mark_world import FakeLog
 
 WITHIN = 4.0
 SECONDS = 60.0
 HEARTBEAT = 1.2
-"""Seconds between announcements of one endpoint."""
+"""Interval in seconds between announcements of one endpoint."""
 
 
 class WaitingLog(FakeLog):
-    """A log whose reads wait for a record, and are counted."""
+    """Log whose reads wait for a record; counts its reads."""
 
     def __init__(self) -> None:
         super().__init__([], [])
@@ -39,7 +43,7 @@
 
 
 class Table:
-    """Notes when each record was read."""
+    """Records when each record was read."""
 
     def __init__(self) -> None:
         self.read_at: dict[int, float] = {}
@@ -48,15 +52,15 @@
         self.read_at[record.offset] = get_running_loop().time()
 
     def on_snapshot(self, keys: frozenset[str], end: int) -> None:
-        """Take nothing."""
+        """Ignore the snapshot."""
 
 
 async def follow(writers: int, is_busy: bool) -> tuple[int, float]:
-    """Return the reads of a minute, and the longest time until one was known."""
+    """Return the number of reads in a minute, and the longest delay of a record."""
     loop = get_running_loop()
     log, table = WaitingLog(), Table()
-    follower = Follower("f", log, table, loop.time, WITHIN, is_busy)
-    running = create_task(follower.run())
+    reader = PartitionReader("f", log, table, loop.time, WITHIN, is_busy)
+    running = create_task(reader.run())
     await sleep(0)
     written_at: list[float] = []
     while loop.time() < SECONDS:
@@ -73,14 +77,14 @@
 
 
 @pytest.mark.parametrize("writers", [0, 4, 54, 400])
-def test_reads_do_not_grow_with_those_that_write(writers: int) -> None:
+def test_reads_do_not_grow_with_the_number_of_writers(writers: int) -> None:
     reads, lag = run_virtually(follow(writers, is_busy=True))
-    assert reads <= (SECONDS + WITHIN) / (BATCH_PART * WITHIN) + 2
+    assert reads <= (SECONDS + WITHIN) / (BATCH_FRACTION * WITHIN) + 2
     assert lag <= WITHIN / 2
 
 
-def test_where_little_is_written_a_record_is_known_at_once() -> None:
+def test_a_record_is_read_at_once_if_few_are_written() -> None:
     reads, lag = run_virtually(follow(0, is_busy=False))
-    assert reads <= (SECONDS + WITHIN) / (WAIT_PART * WITHIN) + 2
+    assert reads <= (SECONDS + WITHIN) / (WAIT_FRACTION * WITHIN) + 2
     reads, lag = run_virtually(follow(1, is_busy=False))
     assert lag == 0.0
--- a/tests/unit/relay/test_starting_together.py
+++ b/tests/unit/relay/test_starting_together.py
@@ -1,4 +1,4 @@
-"""Entries that all start at once, before a store whose reading rate they share."""
+"""Many entries that start at once and share the read bandwidth of the store."""
 
 from asyncio import create_task, gather, get_running_loop, sleep, timeout
 
@@ -12,7 +12,11 @@
     StoreFailure,
 )
 from clementinebend_platform_client.store_paths import StorePaths
-from clementinebend_relay.following import MOST_PATIENCE, Follower, patience_after
+from clementinebend_relay.partition_reader import (
+    MAX_PATIENCE,
+    PartitionReader,
+    patience_after,
+)
 from clementinebend_transport.client_connection import Address
 from tests.unit.relay.mark_world import FakeLog
 
@@ -21,17 +25,17 @@
 BYTES_PER_SECOND = 80e6
 WITHIN = 4.0
 CHANGE_SECONDS = 9.0
-"""Seconds within which a change must be in force everywhere, at 370 entries too."""
+"""Maximum seconds until a change is in force at all entries, up to 370 of them."""
 
 
 class BusyStore:
-    """Answers one after the other; one that was given up has its turn all the same."""
+    """Store that serves reads one by one, including reads that timed out meanwhile."""
 
     def __init__(self, size: float) -> None:
         self.size = size
         self.free_at = 0.0
 
-    async def turn(self) -> None:
+    async def serve_read(self) -> None:
         now = get_running_loop().time()
         begins_at = max(now, self.free_at)
         self.free_at = begins_at + self.size / BYTES_PER_SECOND
@@ -39,7 +43,7 @@
 
 
 class BusyLog(FakeLog):
-    """One entry's way to the busy store, with the time limits of a real one."""
+    """Log of one entry on the busy store, with the timeouts of a real one."""
 
     def __init__(self, store: BusyStore) -> None:
         super().__init__([], [])
@@ -51,7 +55,7 @@
     ) -> NewestPage | StoreFailure:
         try:
             async with timeout(self.paths.limit + patience):
-                await self.store.turn()
+                await self.store.serve_read()
         except TimeoutError:
             self.paths.on_silence()
             return StoreFailure(True, "no answer in time")
@@ -63,25 +67,25 @@
 
 
 class Table:
-    """Notes when all was read first."""
+    """Records when the first snapshot was read."""
 
     def __init__(self) -> None:
         self.known_at: float | None = None
 
     def on_record(self, record: KeyedRecord) -> None:
-        """Take nothing."""
+        """Ignore the record."""
 
     def on_snapshot(self, keys: frozenset[str], end: int) -> None:
         self.known_at = get_running_loop().time()
 
 
 async def start(entries: int, size: float, seconds: float) -> list[float]:
-    """Return when each entry that had one by then read the configuration."""
+    """Return when each entry that got the configuration in time read it."""
     store = BusyStore(size)
     clock = get_running_loop().time
     tables = [Table() for _ in range(entries)]
     running = [
-        create_task(Follower("f", BusyLog(store), table, clock, WITHIN).run())
+        create_task(PartitionReader("f", BusyLog(store), table, clock, WITHIN).run())
         for table in tables
     ]
     await sleep(seconds)
@@ -95,8 +99,9 @@
     ("entries", "size"), [(4, 2.7e6), (41, 2.7e6), (68, 2.7e6), (370, 0.5e6)]
 )
 def test_all_get_a_large_configuration(entries: int, size: float) -> None:
-    # Of 41 entries that were killed and started together some took 7.2 s for what the
-    # store gives to all in 1.4 s: "no answer in time" 86 times, each call asked anew.
+    # Guards against read timeouts that are too short: reads that time out are repeated,
+    # which keeps the store busy. Of 41 entries that were killed and restarted together
+    # some took 7.2 s for what the store sends to all in 1.4 s; 86 reads timed out.
     known = run_virtually(start(entries, size, seconds=20.0))
     assert len(known) == entries
     assert max(known) < CHANGE_SECONDS
@@ -104,5 +109,5 @@
 
 def test_patience_is_bounded() -> None:
     assert patience_after(0) == 0.0
-    assert 0.0 < patience_after(1) < MOST_PATIENCE
-    assert patience_after(1000) == MOST_PATIENCE
+    assert 0.0 < patience_after(1) < MAX_PATIENCE
+    assert patience_after(1000) == MAX_PATIENCE
