--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -12,7 +12,7 @@
 from clementinebend_ledger.mark_sizing import at_once, borrowed
 from clementinebend_platform_client.keyed_log import KeyedLog
 from clementinebend_relay.mark_keeper import MarkKeeper
-from clementinebend_relay.mark_view import FRESH_SECONDS, MarkView, Short
+from clementinebend_relay.mark_view import FRESH_SECONDS, MarkView, Shortfall
 from clementinebend_relay.messages import BudgetRest
 from clementinebend_relay.models import Configuration, Team
 from clementinebend_relay.neighbours import Alone, Neighbours
@@ -190,7 +190,7 @@
 
     async def reserve(
         self, team: Team, amount: int, wait: float, longest_wait: float = 0.0
-    ) -> Reservation | Short:
+    ) -> Reservation | Shortfall:
         """Set ``amount`` aside, waiting up to ``wait`` seconds for it.
 
         The wait is extended, up to ``longest_wait`` seconds in all, if the home reports
@@ -205,8 +205,8 @@
             self._borrow(team.name)
             self._raise_early(keeper, team.name)
             return Reservation(team.name, amount)
-        if (short := self._final_short(keeper, team.name, amount)) is not None:
-            return short
+        if (shortfall := self._final_shortfall(keeper, team.name, amount)) is not None:
+            return shortfall
         account.waiting += amount
         is_set_aside = False
         try:
@@ -221,27 +221,29 @@
         if is_set_aside:
             return Reservation(team.name, amount)
         self._give_back(keeper, team.name)
-        return self._short(keeper, team.name, amount)
+        return self._shortfall(keeper, team.name, amount)
 
-    def _final_short(self, keeper: MarkKeeper, team: str, amount: int) -> Short | None:
+    def _final_shortfall(
+        self, keeper: MarkKeeper, team: str, amount: int
+    ) -> Shortfall | None:
         """Return why no wait would help, none if one might."""
-        short = self._short(keeper, team, amount)
-        if short.left is None or short.left >= amount or short.age is None:
+        shortfall = self._shortfall(keeper, team, amount)
+        if shortfall.left is None or shortfall.left >= amount or shortfall.age is None:
             return None
         is_home = self.is_home_of(team)
-        is_fresh = keeper.is_fresh() if is_home else short.age < REST_SECONDS
-        return short if is_fresh else None
+        is_fresh = keeper.is_fresh() if is_home else shortfall.age < REST_SECONDS
+        return shortfall if is_fresh else None
 
-    def _short(self, keeper: MarkKeeper, team: str, amount: int) -> Short:
+    def _shortfall(self, keeper: MarkKeeper, team: str, amount: int) -> Shortfall:
         """Return why ``amount`` cannot be set aside, by what the home said last."""
         told = self.told.get(team)
         if told is None or self.is_home_of(team):
-            return keeper.short(team, amount)
+            return keeper.shortfall(team, amount)
         age = self.clock() - told.at
         left, uncertain = told.rest
         left += max(0, keeper.account(team).free)
         is_spent = age < FRESH_SECONDS and left + uncertain < amount
-        return Short(is_spent, left, uncertain, age)
+        return Shortfall(is_spent, left, uncertain, age)
 
     def _borrow(self, team: str) -> None:
         """Ask the home for more before what is borrowed runs out."""
@@ -272,7 +274,7 @@
         started_at = get_running_loop().time()
         self._seek_first(keeper, team)
         while not await self._turn(keeper, team, amount):
-            if self._final_short(keeper, team, amount) is not None:
+            if self._final_shortfall(keeper, team, amount) is not None:
                 return False
             deadline = min(latest_deadline, started_at + self.patience())
             if deadline > (wait_timeout.when() or 0.0):
@@ -319,7 +321,7 @@
         with suppress(TimeoutError):
             async with timeout(TURN_SECONDS):
                 while not account.reserve(amount):
-                    if self._final_short(keeper, team, amount) is not None:
+                    if self._final_shortfall(keeper, team, amount) is not None:
                         return False
                     await keeper.changed.wait()
                 return True
@@ -401,10 +403,10 @@
         keeper = self.keeper(team)
         if not keeper.is_fresh():
             return None
-        short = keeper.short(team, 0)
-        if short.left is None or short.uncertain is None:
+        shortfall = keeper.shortfall(team, 0)
+        if shortfall.left is None or shortfall.uncertain is None:
             return None
-        rest = BudgetRest(short.left, short.uncertain)
+        rest = BudgetRest(shortfall.left, shortfall.uncertain)
         self.rests[team] = Told(now, rest)
         return rest
 
--- a/libs/relay/src/clementinebend_relay/handler.py
+++ b/libs/relay/src/clementinebend_relay/handler.py
@@ -10,7 +10,7 @@
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.dispatch import Dispatcher
 from clementinebend_relay.interfaces import HttpProtocol
-from clementinebend_relay.mark_view import Short
+from clementinebend_relay.mark_view import Shortfall
 from clementinebend_relay.metrics import (
     answered,
     first_byte_seconds,
@@ -102,18 +102,18 @@
             return outcome
         return self._short(outcome, admitted)
 
-    def _short(self, short: Short, admitted: Admitted) -> Rejection:
+    def _short(self, shortfall: Shortfall, admitted: Admitted) -> Rejection:
         log_decision(
             "budget refused",
             request_id=admitted.call.request_id,
             team=admitted.team.name,
             amount=admitted.call.most_tokens,
-            left=short.left,
-            uncertain=short.uncertain,
-            age_s=None if short.age is None else round(short.age, 3),
-            is_spent=short.is_spent,
+            left=shortfall.left,
+            uncertain=shortfall.uncertain,
+            age_s=None if shortfall.age is None else round(shortfall.age, 3),
+            is_spent=shortfall.is_spent,
         )
-        if short.is_spent:
+        if shortfall.is_spent:
             return Rejection(Reason.BUDGET_SPENT, "the prepaid budget is spent")
         message = "no part of the budget is at hand"
         pause = OUTAGE_PAUSE if self.budgets.is_log_away() else BUDGET_PAUSE
--- a/libs/relay/src/clementinebend_relay/mark_keeper.py
+++ b/libs/relay/src/clementinebend_relay/mark_keeper.py
@@ -22,7 +22,7 @@
 from clementinebend_platform_client.newest_records import NewestRecords
 from clementinebend_relay.decisions import log_dependency
 from clementinebend_relay.mark_plan import REWRITE_SECONDS, MarkPlan
-from clementinebend_relay.mark_view import MarkView, Pending, Short
+from clementinebend_relay.mark_view import MarkView, Pending, Shortfall
 
 COMMIT_SECONDS = 0.5
 """Pause between commits. A finished run must be settled within 1.5 s."""
@@ -109,9 +109,9 @@
         if self.on_wake is not None:
             self.on_wake()
 
-    def short(self, team: str, amount: int) -> Short:
+    def shortfall(self, team: str, amount: int) -> Shortfall:
         """Return why ``amount`` cannot be set aside."""
-        return self.view.short(team, amount)
+        return self.view.shortfall(team, amount)
 
     def open_reserve(self) -> None:
         """Ask the witnesses to let the reserve be spent."""
--- a/libs/relay/src/clementinebend_relay/mark_view.py
+++ b/libs/relay/src/clementinebend_relay/mark_view.py
@@ -51,7 +51,7 @@
     records: tuple[tuple[str, bytes], ...]
 
 
-class Short(NamedTuple):
+class Shortfall(NamedTuple):
     """A reservation that could not be made.
 
     ``is_spent`` is true if the budget has not that much left for anyone.
@@ -114,14 +114,14 @@
         age = self.age()
         return age is not None and age < FRESH_SECONDS
 
-    def short(self, team: str, amount: int) -> Short:
+    def shortfall(self, team: str, amount: int) -> Shortfall:
         """Return why ``amount`` cannot be set aside."""
         if self.read_at is None or team not in self.prepaid:
-            return Short(False, None, None, self.age())
+            return Shortfall(False, None, None, self.age())
         allotment = self.allot(team, self.live())
         is_spent = self.is_fresh() and allotment.unspent < amount
         uncertain = allotment.unspent - allotment.pool
-        return Short(is_spent, allotment.pool, uncertain, self.age())
+        return Shortfall(is_spent, allotment.pool, uncertain, self.age())
 
     def take(self, page: Page) -> None:
         """Take what was read, or what this holder has appended."""
--- a/tests/unit/relay/test_mark_keeper.py
+++ b/tests/unit/relay/test_mark_keeper.py
@@ -147,10 +147,10 @@
     world.commit(0)
     world.clock.now += LIVE_SECONDS + 1
     assert other not in view.live()
-    lost = world.entries[0].keeper.short(TEAM, 1).left
+    lost = world.entries[0].keeper.shortfall(TEAM, 1).left
     view.is_heard = lambda holder: holder == other
     assert other in view.live()
-    assert world.entries[0].keeper.short(TEAM, 1).left > lost
+    assert world.entries[0].keeper.shortfall(TEAM, 1).left > lost
 
 
 def test_an_entry_that_is_not_the_home_writes_what_it_spends_of_its_own_mark(
@@ -166,9 +166,9 @@
 
 
 def test_a_budget_that_is_spent_is_told_so(world: MarkWorld) -> None:
-    short = world.entries[0].keeper.short(TEAM, PREPAID + 1)
-    assert short.is_spent
-    assert not world.entries[0].keeper.short(TEAM, PREPAID // 2).is_spent
+    shortfall = world.entries[0].keeper.shortfall(TEAM, PREPAID + 1)
+    assert shortfall.is_spent
+    assert not world.entries[0].keeper.shortfall(TEAM, PREPAID // 2).is_spent
 
 
 def test_a_home_opens_its_reserve_while_the_log_keeps_silent(world: MarkWorld) -> None:
--- a/tests/unit/relay/test_questions.py
+++ b/tests/unit/relay/test_questions.py
@@ -9,7 +9,7 @@
 from clementinebend_relay.announcing import Directory
 from clementinebend_relay.budgets import Budgets
 from clementinebend_relay.mark_keeper import GUEST_HURRY
-from clementinebend_relay.mark_view import Short
+from clementinebend_relay.mark_view import Shortfall
 from clementinebend_relay.models import Team
 from clementinebend_relay.questions import ALL_PAUSE, HOME_PAUSE, Questions
 from clementinebend_relay.witnesses import Witnesses
@@ -119,7 +119,7 @@
     team = Team(TEAM, 1_000_000, None)
     waits = (budgets.reserve(team, 100, WAIT) for _ in range(50))
     outcomes = await gather(*waits)
-    assert all(isinstance(outcome, Short) for outcome in outcomes)
+    assert all(isinstance(outcome, Shortfall) for outcome in outcomes)
     assert 2 <= others.asked_home <= WAIT / HOME_PAUSE + 2
     assert others.asked_all <= WAIT / ALL_PAUSE + 1
     assert budgets.keepers[0].urgent.is_set() != answers
