--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -13,7 +13,7 @@
 from clementinebend_platform_client.keyed_log import KeyedLog
 from clementinebend_relay.mark_keeper import MarkKeeper
 from clementinebend_relay.mark_view import FRESH_SECONDS, MarkView, Shortfall
-from clementinebend_relay.messages import BudgetRest
+from clementinebend_relay.messages import RemainingBudget
 from clementinebend_relay.models import Configuration, Team
 from clementinebend_relay.neighbours import Alone, Neighbours
 from clementinebend_relay.questions import HOME_PAUSE, Questions
@@ -42,11 +42,11 @@
 """Part of what a home may spend at once below which it raises its mark: what is left
 lasts for the append."""
 
-REST_SECONDS = 0.25
+REMAINING_VALID_SECONDS = 0.25
 """How long a home's word that a budget has too little left turns calls away at once;
 then it is asked again, as callers may have returned what they did not use."""
 
-REST_REMEMBERED = 0.02
+REMAINING_CACHE_SECONDS = 0.02
 """How long what is left of a budget is remembered: a home on a small host may be asked
 for the same budget a hundred times a second."""
 
@@ -58,11 +58,11 @@
 """Between an entry's boot and its partition in a holder's name."""
 
 
-class Told(NamedTuple):
+class RemainingReport(NamedTuple):
     """What the home of a budget said was left of it, and when."""
 
     at: float
-    rest: BudgetRest
+    remaining: RemainingBudget
 
 
 class AnswerTimeReport(NamedTuple):
@@ -108,9 +108,9 @@
         self.neighbours: Neighbours = Alone()
         self.is_store_lost: Callable[[], bool] = lambda: False
         self.questions: dict[str, Questions] = defaultdict(Questions)
-        self.told: dict[str, Told] = {}
+        self.reported: dict[str, RemainingReport] = {}
         self.answer_time_report = AnswerTimeReport(0.0, clock())
-        self.rests: dict[str, Told] = {}
+        self.remaining_cache: dict[str, RemainingReport] = {}
         self.keepers = tuple(
             MarkKeeper(self._view(holder_name(boot, part), part, witnesses), log)
             for part, log in enumerate(logs)
@@ -124,8 +124,8 @@
 
     def configure(self, configuration: Configuration) -> None:
         """Take the budgets of a configuration."""
-        self.told.clear()
-        self.rests.clear()
+        self.reported.clear()
+        self.remaining_cache.clear()
         for keeper in self.keepers:
             keeper.configure(
                 {
@@ -231,16 +231,18 @@
         if shortfall.left is None or shortfall.left >= amount or shortfall.age is None:
             return None
         is_home = self.is_home_of(team)
-        is_fresh = keeper.is_fresh() if is_home else shortfall.age < REST_SECONDS
+        is_fresh = (
+            keeper.is_fresh() if is_home else shortfall.age < REMAINING_VALID_SECONDS
+        )
         return shortfall if is_fresh else None
 
     def _shortfall(self, keeper: MarkKeeper, team: str, amount: int) -> Shortfall:
         """Return why ``amount`` cannot be set aside, by what the home said last."""
-        told = self.told.get(team)
-        if told is None or self.is_home_of(team):
+        reported = self.reported.get(team)
+        if reported is None or self.is_home_of(team):
             return keeper.shortfall(team, amount)
-        age = self.clock() - told.at
-        left, uncertain = told.rest
+        age = self.clock() - reported.at
+        left, uncertain = reported.remaining
         left += max(0, keeper.account(team).free)
         is_spent = age < FRESH_SECONDS and left + uncertain < amount
         return Shortfall(is_spent, left, uncertain, age)
@@ -387,28 +389,28 @@
             self._give_back(keeper, team)
         keeper.wake()
 
-    def on_rest(self, team: str, rest: BudgetRest) -> None:
+    def on_remaining(self, team: str, remaining: RemainingBudget) -> None:
         """Take what the home says is left of a budget."""
-        self.told[team] = Told(self.clock(), rest)
+        self.reported[team] = RemainingReport(self.clock(), remaining)
 
-    def rest(self, team: str) -> BudgetRest | None:
+    def remaining(self, team: str) -> RemainingBudget | None:
         """Return what is left of a budget, none if the store was not read lately.
 
         It is worked out once for all that ask within some milliseconds.
         """
-        known = self.rests.get(team)
+        known = self.remaining_cache.get(team)
         now = self.clock()
-        if known is not None and now - known.at < REST_REMEMBERED:
-            return known.rest
+        if known is not None and now - known.at < REMAINING_CACHE_SECONDS:
+            return known.remaining
         keeper = self.keeper(team)
         if not keeper.is_fresh():
             return None
         shortfall = keeper.shortfall(team, 0)
         if shortfall.left is None or shortfall.uncertain is None:
             return None
-        rest = BudgetRest(shortfall.left, shortfall.uncertain)
-        self.rests[team] = Told(now, rest)
-        return rest
+        remaining = RemainingBudget(shortfall.left, shortfall.uncertain)
+        self.remaining_cache[team] = RemainingReport(now, remaining)
+        return remaining
 
     def _give_back(self, keeper: MarkKeeper, team: str) -> None:
         """Give the home what is left of calls that have ended."""
--- a/libs/relay/src/clementinebend_relay/messages.py
+++ b/libs/relay/src/clementinebend_relay/messages.py
@@ -77,7 +77,7 @@
     asked: Wish
 
 
-class BudgetRest(NamedTuple):
+class RemainingBudget(NamedTuple):
     """What a home knows of a budget that has too little left.
 
     ``left`` is what is left for live holders, ``uncertain`` what holders that ended
@@ -100,7 +100,7 @@
     team: str
     transfer: Transfer
     is_home: bool
-    rest: BudgetRest | None = None
+    remaining: RemainingBudget | None = None
     answer_seconds: float = 0.0
 
 
--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -199,10 +199,10 @@
         transfer = self.transfers.hand_over(message.boot, team, amount)
         is_home = self.budgets.is_home_of(team)
         is_lacking = is_home and amount < message.asked.amount
-        rest = self.budgets.rest(team) if is_lacking else None
+        remaining = self.budgets.remaining(team) if is_lacking else None
         answer_seconds = self.budgets.answer_seconds(team) if is_home else 0.0
         gift = GiftMessage(
-            self.boot, message.boot, team, transfer, is_home, rest, answer_seconds
+            self.boot, message.boot, team, transfer, is_home, remaining, answer_seconds
         )
         self.send(gift, sender)
 
@@ -216,8 +216,8 @@
         part = self.budgets.part(message.team)
         if not message.is_home and giver == self.home_of(part):
             self.homes.on_no_home(part)
-        if message.rest is not None:
-            self.budgets.on_rest(message.team, message.rest)
+        if message.remaining is not None:
+            self.budgets.on_remaining(message.team, message.remaining)
         if message.is_home:
             self.budgets.on_home_answer_seconds(message.answer_seconds)
         self.budgets.on_gift(message.team, amount, giver)
--- a/tests/unit/relay/test_message_fuzz.py
+++ b/tests/unit/relay/test_message_fuzz.py
@@ -13,7 +13,6 @@
 from clementinebend_ledger.mark_transfers import Transfer
 from clementinebend_relay.messages import (
     AskMessage,
-    BudgetRest,
     EndedMessage,
     EndpointEndedMessage,
     EndpointLeavingMessage,
@@ -24,6 +23,7 @@
     ProbeMessage,
     QuarantineMessage,
     ReadMessage,
+    RemainingBudget,
     ReportMessage,
     SentMessage,
     SoundMessage,
@@ -79,7 +79,7 @@
         st.just(TEAM),
         st.builds(Transfer, numbers, numbers),
         st.booleans(),
-        st.none() | st.builds(BudgetRest, numbers, numbers),
+        st.none() | st.builds(RemainingBudget, numbers, numbers),
         st.floats(),
     ),
     st.builds(
@@ -107,7 +107,7 @@
         SentMessage("e/", "r", 1, 5, (PromptPart("p", 5),)),
         ReadMessage("e/", "r"),
         EndedMessage("e/", "r"),
-        GiftMessage("a#1", "b#1", TEAM, Transfer(1, 5), True, BudgetRest(1, 2)),
+        GiftMessage("a#1", "b#1", TEAM, Transfer(1, 5), True, RemainingBudget(1, 2)),
         EndpointEndedMessage("a#1", "e/", 0.5, (ToldRun("a" * 24, 0.7),)),
         QuarantineMessage("a#1", "a" * 24, ("e/",)),
         SoundMessage("a#1", "a" * 24),
