--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -10,7 +10,7 @@
 from clementinebend_bench.models.mark_store import ModelLog, StoreModel
 from clementinebend_records.identifiers import Incarnation
 from clementinebend_relay.announcing import Announcement, Directory
-from clementinebend_relay.budgets import LONGEST_WAIT, Budgets, Reservation
+from clementinebend_relay.budgets import MAX_BUDGET_WAIT, Budgets, Reservation
 from clementinebend_relay.cold_endpoints import ColdEndpoints
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.evacuations import Evacuations
@@ -179,7 +179,7 @@
         customer = Team(team, self.prepaid[team], None)
         budgets = entry.budgets
         outcome = await budgets.reserve(
-            customer, amount, budgets.patience(), LONGEST_WAIT
+            customer, amount, budgets.patience(), MAX_BUDGET_WAIT
         )
         return outcome if isinstance(outcome, Reservation) else None
 
--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -19,7 +19,7 @@
 from clementinebend_relay.questions import HOME_PAUSE, Questions
 from clementinebend_relay.witnesses import Witnesses
 
-TURN_SECONDS = HOME_PAUSE
+FALLBACK_SECONDS = HOME_PAUSE
 """Seconds that a waiting call leaves to the home or the store, which answer in
 some 5 and 10 ms, before it turns to the reserve and to the other entries."""
 
@@ -28,17 +28,17 @@
 that all entries read at once holds up a home's append for some 0.1 s; a caller that is
 told to come back after 0.5 s is late in any case."""
 
-ANSWERS_WAITED = 2.5
+STORE_ANSWERS_AWAITED = 2.5
 """The same in answers of a slow store: one that is on its way, and the next."""
 
-LONGEST_WAIT = 0.8
+MAX_BUDGET_WAIT = 0.8
 """Longest time in seconds that a call waits for its budget: two answers of a slow
 store. A refused caller would take about as long until it is back."""
 
 ANSWER_TIME_REPORT_SECONDS = 2.0
 """Seconds for which a store answer time reported by a home remains valid."""
 
-LOW_PART = 0.5
+LOW_FRACTION = 0.5
 """Part of what a home may spend at once below which it raises its mark: what is left
 lasts for the append."""
 
@@ -50,11 +50,11 @@
 """How long what is left of a budget is remembered: a home on a small host may be asked
 for the same budget a hundred times a second."""
 
-GIVEN_BACK_FROM = 3
+RETURN_FACTOR = 3
 """Times what an entry keeps at hand from which on it gives the rest back. What many
 entries keep of ended calls is lacking elsewhere: calls are refused with budget left."""
 
-PART_MARK = "@"
+PARTITION_SEPARATOR = "@"
 """Between an entry's boot and its partition in a holder's name."""
 
 
@@ -81,12 +81,12 @@
 
 def holder_name(boot: str, part: int) -> str:
     """Return the name under which a boot of an entry holds marks in a partition."""
-    return f"{boot}{PART_MARK}{part}"
+    return f"{boot}{PARTITION_SEPARATOR}{part}"
 
 
 def boot_of(holder: str) -> str:
     """Return the boot that a holder's name tells."""
-    return holder.rpartition(PART_MARK)[0]
+    return holder.rpartition(PARTITION_SEPARATOR)[0]
 
 
 class Budgets:
@@ -161,7 +161,7 @@
         answering = (keeper for keeper in self.keepers if not keeper.is_out_of_reach())
         slowest = max((keeper.answer_seconds for keeper in answering), default=0.0)
         slowest = max(slowest, self._home_answer_seconds())
-        return min(LONGEST_WAIT, max(BUDGET_WAIT, ANSWERS_WAITED * slowest))
+        return min(MAX_BUDGET_WAIT, max(BUDGET_WAIT, STORE_ANSWERS_AWAITED * slowest))
 
     def answer_seconds(self, team: str) -> float:
         """Return how long the store takes to answer calls for a team's marks."""
@@ -169,7 +169,7 @@
 
     def on_home_answer_seconds(self, seconds: float) -> None:
         """Record a home's store answer time, unless a longer one is still valid."""
-        seconds = min(LONGEST_WAIT, seconds)
+        seconds = min(MAX_BUDGET_WAIT, seconds)
         if seconds >= self._home_answer_seconds():
             self.answer_time_report = AnswerTimeReport(seconds, self.clock())
 
@@ -321,7 +321,7 @@
         """Wait a moment for ``amount``; return whether it is set aside."""
         account = keeper.account(team)
         with suppress(TimeoutError):
-            async with timeout(TURN_SECONDS):
+            async with timeout(FALLBACK_SECONDS):
                 while not account.reserve(amount):
                     if self._final_shortfall(keeper, team, amount) is not None:
                         return False
@@ -374,7 +374,7 @@
         if not self.is_home_of(team):
             return
         account = keeper.account(team)
-        if account.free < LOW_PART * at_once(account, 0.0, self.clock()):
+        if account.free < LOW_FRACTION * at_once(account, 0.0, self.clock()):
             keeper.hurry()
 
     def on_gift(self, team: str, amount: int, giver: str) -> None:
@@ -420,7 +420,7 @@
         account = keeper.account(team)
         kept = borrowed(account, self.clock())
         surplus = account.free - kept
-        if account.free <= GIVEN_BACK_FROM * kept or surplus <= 0:
+        if account.free <= RETURN_FACTOR * kept or surplus <= 0:
             return
         if self.neighbours.give_back(home, team, surplus):
             account.give(surplus)
--- a/tests/unit/relay/test_mark_keeper.py
+++ b/tests/unit/relay/test_mark_keeper.py
@@ -5,7 +5,7 @@
 import pytest
 
 from clementinebend_ledger.mark_gifts import Wish
-from clementinebend_relay.budgets import BUDGET_WAIT, LONGEST_WAIT
+from clementinebend_relay.budgets import BUDGET_WAIT, MAX_BUDGET_WAIT
 from clementinebend_relay.mark_view import LIVE_SECONDS
 from tests.unit.relay.mark_world import TEAM, MarkWorld
 
@@ -218,7 +218,7 @@
     assert budgets.patience() == BUDGET_WAIT
     world.entries[0].log.seconds = 0.15
     raise_demand(world, 0)
-    assert BUDGET_WAIT < budgets.patience() <= LONGEST_WAIT
+    assert BUDGET_WAIT < budgets.patience() <= MAX_BUDGET_WAIT
     assert not budgets.is_log_away()
     world.entries[0].log.mode = "down"
     raise_demand(world, 0)
@@ -236,7 +236,7 @@
     assert budgets.patience() == pytest.approx(0.5)
     for invalid in (-1.0, float("nan"), float("inf")):
         budgets.on_home_answer_seconds(invalid)
-        assert BUDGET_WAIT <= budgets.patience() <= LONGEST_WAIT
+        assert BUDGET_WAIT <= budgets.patience() <= MAX_BUDGET_WAIT
 
 
 def test_a_call_that_lacks_little_beside_a_large_one_is_written_for(
