--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -179,7 +179,7 @@
         customer = Team(team, self.prepaid[team], None)
         budgets = entry.budgets
         outcome = await budgets.reserve(
-            customer, amount, budgets.patience(), MAX_BUDGET_WAIT
+            customer, amount, budgets.wait_seconds(), MAX_BUDGET_WAIT
         )
         return outcome if isinstance(outcome, Reservation) else None
 
--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -156,7 +156,7 @@
             self.clock,
         )
 
-    def patience(self) -> float:
+    def wait_seconds(self) -> float:
         """Return how many seconds a call should wait for its budget."""
         answering = (keeper for keeper in self.keepers if not keeper.is_out_of_reach())
         slowest = max((keeper.answer_seconds for keeper in answering), default=0.0)
@@ -178,7 +178,7 @@
         is_recent = self.clock() - report.at < ANSWER_TIME_REPORT_SECONDS
         return report.answer_seconds if is_recent else 0.0
 
-    def is_log_away(self) -> bool:
+    def is_log_unavailable(self) -> bool:
         """Tell whether some part of the log is out of reach at the moment.
 
         An entry that is no home calls it seldom, and goes by what it reads elsewhere
@@ -203,7 +203,7 @@
         account.demand(amount, self.clock())
         if account.reserve(amount):
             self._borrow(team.name)
-            self._raise_early(keeper, team.name)
+            self._raise_before_empty(keeper, team.name)
             return Reservation(team.name, amount)
         if (shortfall := self._final_shortfall(keeper, team.name, amount)) is not None:
             return shortfall
@@ -213,14 +213,14 @@
             with suppress(TimeoutError):  # the caller logs why it is refused
                 async with timeout(wait) as wait_timeout:
                     latest_deadline = get_running_loop().time() + longest_wait
-                    is_set_aside = await self._wait(
+                    is_set_aside = await self._wait_until_reserved(
                         keeper, team.name, amount, wait_timeout, latest_deadline
                     )
         finally:
             account.waiting -= amount
         if is_set_aside:
             return Reservation(team.name, amount)
-        self._give_back(keeper, team.name)
+        self._return_surplus(keeper, team.name)
         return self._shortfall(keeper, team.name, amount)
 
     def _final_shortfall(
@@ -259,7 +259,7 @@
         if is_low and self.questions[team].may_ask_home(now):
             self.neighbours.ask(home, team, Wish(usual))
 
-    async def _wait(
+    async def _wait_until_reserved(
         self,
         keeper: MarkKeeper,
         team: str,
@@ -271,20 +271,20 @@
 
         The first turn is the home's, or the store's where this is the home. False as
         soon as the home says that too little is left. ``wait_timeout`` is extended, to
-        ``latest_deadline`` at most, when ``patience`` grows during the wait.
+        ``latest_deadline`` at most, when ``wait_seconds`` grows during the wait.
         """
         started_at = get_running_loop().time()
-        self._seek_first(keeper, team)
-        while not await self._turn(keeper, team, amount):
+        self._request_first(keeper, team)
+        while not await self._reserve_briefly(keeper, team, amount):
             if self._final_shortfall(keeper, team, amount) is not None:
                 return False
-            deadline = min(latest_deadline, started_at + self.patience())
+            deadline = min(latest_deadline, started_at + self.wait_seconds())
             if deadline > (wait_timeout.when() or 0.0):
                 wait_timeout.reschedule(deadline)
-            self._seek_further(keeper, team, amount)
+            self._request_again(keeper, team, amount)
         return True
 
-    def _seek_first(self, keeper: MarkKeeper, team: str) -> None:
+    def _request_first(self, keeper: MarkKeeper, team: str) -> None:
         home = self.neighbours.home_of(self.part(team))
         if home is not None:
             self._ask_home(home, team)
@@ -293,7 +293,7 @@
         else:
             keeper.hurry()
 
-    def _seek_further(self, keeper: MarkKeeper, team: str, amount: int) -> None:
+    def _request_again(self, keeper: MarkKeeper, team: str, amount: int) -> None:
         """Ask the home again; if it is silent, the store and some others."""
         home = self.neighbours.home_of(self.part(team))
         now = self.clock()
@@ -317,7 +317,9 @@
             needed = account.waiting + borrowed(account, now)
             self.neighbours.ask(home, team, Wish(needed))
 
-    async def _turn(self, keeper: MarkKeeper, team: str, amount: int) -> bool:
+    async def _reserve_briefly(
+        self, keeper: MarkKeeper, team: str, amount: int
+    ) -> bool:
         """Wait a moment for ``amount``; return whether it is set aside."""
         account = keeper.account(team)
         with suppress(TimeoutError):
@@ -336,14 +338,14 @@
         several entries, of use to none. If it has too little it raises its mark.
         """
         is_home = self.is_home_of(team)
-        amount = self.spare(team, asked)
+        amount = self.transferable(team, asked)
         if amount < asked.amount and is_home:
-            self.want(team, asked.amount)
+            self.record_request(team, asked.amount)
             return 0
         self.hand_over(team, amount)
         return amount
 
-    def want(self, team: str, amount: int) -> None:
+    def record_request(self, team: str, amount: int) -> None:
         """Raise this home's mark by what others lack."""
         keeper = self.keeper(team)
         keeper.account(team).ask(amount, self.clock())
@@ -351,7 +353,7 @@
         if keeper.is_stalled():
             keeper.open_reserve()
 
-    def spare(self, team: str, asked: Wish) -> int:
+    def transferable(self, team: str, asked: Wish) -> int:
         """Return how much of what is asked could be handed over now.
 
         A home raises its mark for its own calls as for others, and keeps nothing back.
@@ -367,9 +369,9 @@
         account.give(amount)
         if self.is_home_of(team):
             account.lent(amount, self.clock())
-        self._raise_early(self.keeper(team), team)
+        self._raise_before_empty(self.keeper(team), team)
 
-    def _raise_early(self, keeper: MarkKeeper, team: str) -> None:
+    def _raise_before_empty(self, keeper: MarkKeeper, team: str) -> None:
         """Let a home raise its mark before it runs out, off the way of calls."""
         if not self.is_home_of(team):
             return
@@ -386,7 +388,7 @@
         if amount:
             account.take(amount)
         if not account.waiting:
-            self._give_back(keeper, team)
+            self._return_surplus(keeper, team)
         keeper.wake()
 
     def on_remaining(self, team: str, remaining: RemainingBudget) -> None:
@@ -412,7 +414,7 @@
         self.remaining_cache[team] = RemainingReport(now, remaining)
         return remaining
 
-    def _give_back(self, keeper: MarkKeeper, team: str) -> None:
+    def _return_surplus(self, keeper: MarkKeeper, team: str) -> None:
         """Give the home what is left of calls that have ended."""
         home = self.neighbours.home_of(self.part(team))
         if home is None:
@@ -439,7 +441,7 @@
         if account.waiting:
             keeper.wake()
         else:
-            self._give_back(keeper, reservation.team)
+            self._return_surplus(keeper, reservation.team)
 
     def close(self) -> None:
         """Keep no more than calls in progress need: no other will come."""
--- a/libs/relay/src/clementinebend_relay/handler.py
+++ b/libs/relay/src/clementinebend_relay/handler.py
@@ -96,7 +96,7 @@
     async def _reserve(self, admitted: Admitted) -> Reservation | Rejection:
         team, most = admitted.team, admitted.call.most_tokens
         longest_wait = admitted.time_limit / 2
-        wait = min(self.budgets.patience(), longest_wait)
+        wait = min(self.budgets.wait_seconds(), longest_wait)
         outcome = await self.budgets.reserve(team, most, wait, longest_wait)
         if isinstance(outcome, Reservation):
             return outcome
@@ -116,7 +116,7 @@
         if shortfall.is_spent:
             return Rejection(Reason.BUDGET_SPENT, "the prepaid budget is spent")
         message = "no part of the budget is at hand"
-        pause = OUTAGE_PAUSE if self.budgets.is_log_away() else BUDGET_PAUSE
+        pause = OUTAGE_PAUSE if self.budgets.is_log_unavailable() else BUDGET_PAUSE
         return Rejection(Reason.BUDGET_BUSY, message, pause)
 
     async def _run(
--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -166,7 +166,7 @@
         for team in [team for team in self.unmet if self.budgets.part(team) == part]:
             for unmet in self._unmet_of(team):
                 asked = unmet.message.asked
-                if self.budgets.spare(team, asked) < asked.amount:
+                if self.budgets.transferable(team, asked) < asked.amount:
                     continue
                 del self.unmet[team][unmet.message.boot]
                 self.budgets.hand_over(team, asked.amount)
@@ -180,7 +180,7 @@
         if len(by_boot) > UNMET_REMEMBERED:
             del by_boot[next(iter(by_boot))]
         lacking = (each.message.asked.amount for each in self._unmet_of(message.team))
-        self.budgets.want(message.team, sum(lacking))
+        self.budgets.record_request(message.team, sum(lacking))
 
     def _unmet_of(self, team: str) -> list[Unmet]:
         """Return what entries lack of a team's budget, and forget what is too old."""
--- a/tests/unit/relay/test_mark_keeper.py
+++ b/tests/unit/relay/test_mark_keeper.py
@@ -215,15 +215,15 @@
     world: MarkWorld,
 ) -> None:
     budgets = world.entries[0].budgets
-    assert budgets.patience() == BUDGET_WAIT
+    assert budgets.wait_seconds() == BUDGET_WAIT
     world.entries[0].log.seconds = 0.15
     raise_demand(world, 0)
-    assert BUDGET_WAIT < budgets.patience() <= MAX_BUDGET_WAIT
-    assert not budgets.is_log_away()
+    assert BUDGET_WAIT < budgets.wait_seconds() <= MAX_BUDGET_WAIT
+    assert not budgets.is_log_unavailable()
     world.entries[0].log.mode = "down"
     raise_demand(world, 0)
-    assert budgets.patience() == BUDGET_WAIT
-    assert budgets.is_log_away()
+    assert budgets.wait_seconds() == BUDGET_WAIT
+    assert budgets.is_log_unavailable()
 
 
 def test_calls_wait_longer_while_their_home_reports_a_slow_log(
@@ -231,12 +231,12 @@
 ) -> None:
     budgets = world.entries[0].budgets
     budgets.on_home_answer_seconds(0.2)
-    assert budgets.patience() == pytest.approx(0.5)
+    assert budgets.wait_seconds() == pytest.approx(0.5)
     budgets.on_home_answer_seconds(0.0)
-    assert budgets.patience() == pytest.approx(0.5)
+    assert budgets.wait_seconds() == pytest.approx(0.5)
     for invalid in (-1.0, float("nan"), float("inf")):
         budgets.on_home_answer_seconds(invalid)
-        assert BUDGET_WAIT <= budgets.patience() <= MAX_BUDGET_WAIT
+        assert BUDGET_WAIT <= budgets.wait_seconds() <= MAX_BUDGET_WAIT
 
 
 def test_a_call_that_lacks_little_beside_a_large_one_is_written_for(
--- a/tests/unit/relay/test_questions.py
+++ b/tests/unit/relay/test_questions.py
@@ -128,6 +128,6 @@
 async def test_an_entry_that_is_no_home_knows_of_an_outage_by_its_other_reads() -> None:
     budgets = made_budgets(FakeLog([], []))
     budgets.attach(Others(budgets, answers=True))
-    assert not budgets.is_log_away()
+    assert not budgets.is_log_unavailable()
     budgets.is_store_lost = lambda: True
-    assert budgets.is_log_away()
+    assert budgets.is_log_unavailable()
