--- a/libs/relay/src/clementinebend_relay/neighbours.py
+++ b/libs/relay/src/clementinebend_relay/budget_peers.py
@@ -5,7 +5,7 @@
 from clementinebend_ledger.mark_gifts import Wish
 
 
-class Neighbours(Protocol):
+class BudgetPeers(Protocol):
     """The other entries, as far as budgets need them."""
 
     def home_of(self, part: int) -> str | None:
@@ -33,7 +33,7 @@
         ...
 
 
-class Alone:
+class NoPeers:
     """Neighbours of an entry that knows of no other."""
 
     def home_of(self, part: int) -> str | None:
--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -11,11 +11,11 @@
 from clementinebend_ledger.mark_gifts import Wish, gift, wish
 from clementinebend_ledger.mark_sizing import at_once, borrowed
 from clementinebend_platform_client.keyed_log import KeyedLog
+from clementinebend_relay.budget_peers import BudgetPeers, NoPeers
 from clementinebend_relay.mark_keeper import MarkKeeper
 from clementinebend_relay.mark_view import FRESH_SECONDS, MarkView, Shortfall
 from clementinebend_relay.messages import RemainingBudget
 from clementinebend_relay.models import Configuration, Team
-from clementinebend_relay.neighbours import Alone, Neighbours
 from clementinebend_relay.questions import HOME_PAUSE, Questions
 from clementinebend_relay.witnesses import Witnesses
 
@@ -105,7 +105,7 @@
     ) -> None:
         self.clock = clock
         self.is_succeeded = is_succeeded
-        self.neighbours: Neighbours = Alone()
+        self.budget_peers: BudgetPeers = NoPeers()
         self.is_store_lost: Callable[[], bool] = lambda: False
         self.questions: dict[str, Questions] = defaultdict(Questions)
         self.reported: dict[str, RemainingReport] = {}
@@ -116,11 +116,11 @@
             for part, log in enumerate(logs)
         )
 
-    def attach(self, neighbours: Neighbours) -> None:
+    def attach(self, budget_peers: BudgetPeers) -> None:
         """Take the other entries, which hear when there is more to hand over."""
-        self.neighbours = neighbours
+        self.budget_peers = budget_peers
         for part, keeper in enumerate(self.keepers):
-            keeper.on_wake = partial(neighbours.serve_unmet, part)
+            keeper.on_wake = partial(budget_peers.serve_unmet, part)
 
     def configure(self, configuration: Configuration) -> None:
         """Take the budgets of a configuration."""
@@ -144,14 +144,14 @@
         return crc32(team.encode()) % len(self.keepers)
 
     def _is_home(self, part: int) -> bool:
-        return self.neighbours.home_of(part) is None
+        return self.budget_peers.home_of(part) is None
 
     def _view(self, holder: str, part: int, witnesses: Witnesses) -> MarkView:
         return MarkView(
             holder,
             witnesses,
             lambda other: self.is_succeeded(boot_of(other)),
-            lambda other: self.neighbours.is_heard(boot_of(other)),
+            lambda other: self.budget_peers.is_heard(boot_of(other)),
             partial(self._is_home, part),
             self.clock,
         )
@@ -249,7 +249,7 @@
 
     def _borrow(self, team: str) -> None:
         """Ask the home for more before what is borrowed runs out."""
-        home = self.neighbours.home_of(self.part(team))
+        home = self.budget_peers.home_of(self.part(team))
         if home is None:
             return
         now = self.clock()
@@ -257,7 +257,7 @@
         usual = borrowed(account, now)
         is_low = account.free < usual // 2
         if is_low and self.questions[team].may_ask_home(now):
-            self.neighbours.ask(home, team, Wish(usual))
+            self.budget_peers.ask(home, team, Wish(usual))
 
     async def _wait_until_reserved(
         self,
@@ -285,7 +285,7 @@
         return True
 
     def _request_first(self, keeper: MarkKeeper, team: str) -> None:
-        home = self.neighbours.home_of(self.part(team))
+        home = self.budget_peers.home_of(self.part(team))
         if home is not None:
             self._ask_home(home, team)
         elif keeper.is_stalled():
@@ -295,7 +295,7 @@
 
     def _request_again(self, keeper: MarkKeeper, team: str, amount: int) -> None:
         """Ask the home again; if it is silent, the store and some others."""
-        home = self.neighbours.home_of(self.part(team))
+        home = self.budget_peers.home_of(self.part(team))
         now = self.clock()
         questions = self.questions[team]
         is_alone = home is None or questions.is_home_gone(now)
@@ -307,7 +307,7 @@
             self._ask_home(home, team)
         if is_alone and questions.may_ask_all(now):
             asked = wish(keeper.account(team), amount, now)
-            self.neighbours.ask_others(team, asked)
+            self.budget_peers.ask_others(team, asked)
 
     def _ask_home(self, home: str, team: str) -> None:
         """Ask for what all calls that wait need."""
@@ -315,7 +315,7 @@
         account = self.keeper(team).account(team)
         if self.questions[team].may_ask_home(now):
             needed = account.waiting + borrowed(account, now)
-            self.neighbours.ask(home, team, Wish(needed))
+            self.budget_peers.ask(home, team, Wish(needed))
 
     async def _reserve_briefly(
         self, keeper: MarkKeeper, team: str, amount: int
@@ -382,7 +382,7 @@
     def on_gift(self, team: str, amount: int, giver: str) -> None:
         """Take what the entry ``giver`` has handed over, which may be nothing."""
         keeper = self.keeper(team)
-        if giver == self.neighbours.home_of(self.part(team)):
+        if giver == self.budget_peers.home_of(self.part(team)):
             self.questions[team].on_home_answer(self.clock(), bool(amount))
         account = keeper.account(team)
         if amount:
@@ -416,7 +416,7 @@
 
     def _return_surplus(self, keeper: MarkKeeper, team: str) -> None:
         """Give the home what is left of calls that have ended."""
-        home = self.neighbours.home_of(self.part(team))
+        home = self.budget_peers.home_of(self.part(team))
         if home is None:
             return
         account = keeper.account(team)
@@ -424,7 +424,7 @@
         surplus = account.free - kept
         if account.free <= RETURN_FACTOR * kept or surplus <= 0:
             return
-        if self.neighbours.give_back(home, team, surplus):
+        if self.budget_peers.give_back(home, team, surplus):
             account.give(surplus)
 
     def is_home_of(self, team: str) -> bool:
--- a/tests/unit/relay/mark_world.py
+++ b/tests/unit/relay/mark_world.py
@@ -20,6 +20,7 @@
 )
 from clementinebend_records.identifiers import Incarnation, name_of, new_incarnation
 from clementinebend_relay.announcing import Announcement, Directory
+from clementinebend_relay.budget_peers import NoPeers
 from clementinebend_relay.budgets import Budgets, boot_of
 from clementinebend_relay.messages import (
     AttestationMessage,
@@ -29,7 +30,6 @@
     OpenMessage,
 )
 from clementinebend_relay.models import CallerLimits, Configuration, Team
-from clementinebend_relay.neighbours import Alone
 from clementinebend_relay.witness import WitnessDesk
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_transport.client_connection import Address
@@ -121,7 +121,7 @@
     sender: Address
 
 
-class FakeEntry(Alone):
+class FakeEntry(NoPeers):
     """One boot of an entry; what it would ask of others is lost.
 
     Tests hand over by ``hand_over``.
