--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -16,10 +16,10 @@
 from clementinebend_relay.mark_view import FRESH_SECONDS, MarkView, Shortfall
 from clementinebend_relay.messages import RemainingBudget
 from clementinebend_relay.models import Configuration, Team
-from clementinebend_relay.questions import HOME_PAUSE, Questions
+from clementinebend_relay.request_pacing import HOME_REQUEST_INTERVAL, RequestPacing
 from clementinebend_relay.witnesses import Witnesses
 
-FALLBACK_SECONDS = HOME_PAUSE
+FALLBACK_SECONDS = HOME_REQUEST_INTERVAL
 """Seconds that a waiting call leaves to the home or the store, which answer in
 some 5 and 10 ms, before it turns to the reserve and to the other entries."""
 
@@ -107,7 +107,7 @@
         self.is_succeeded = is_succeeded
         self.budget_peers: BudgetPeers = NoPeers()
         self.is_store_lost: Callable[[], bool] = lambda: False
-        self.questions: dict[str, Questions] = defaultdict(Questions)
+        self.request_pacing: dict[str, RequestPacing] = defaultdict(RequestPacing)
         self.reported: dict[str, RemainingReport] = {}
         self.answer_time_report = AnswerTimeReport(0.0, clock())
         self.remaining_cache: dict[str, RemainingReport] = {}
@@ -256,7 +256,7 @@
         account = self.keeper(team).account(team)
         usual = borrowed(account, now)
         is_low = account.free < usual // 2
-        if is_low and self.questions[team].may_ask_home(now):
+        if is_low and self.request_pacing[team].may_ask_home(now):
             self.budget_peers.ask(home, team, Wish(usual))
 
     async def _wait_until_reserved(
@@ -297,15 +297,15 @@
         """Ask the home again; if it is silent, the store and some others."""
         home = self.budget_peers.home_of(self.part(team))
         now = self.clock()
-        questions = self.questions[team]
-        is_alone = home is None or questions.is_home_gone(now)
+        request_pacing = self.request_pacing[team]
+        is_alone = home is None or request_pacing.is_home_gone(now)
         if is_alone:
             keeper.hurry()
             if keeper.is_stalled() or home is not None:
                 keeper.open_reserve()
         if home is not None:
             self._ask_home(home, team)
-        if is_alone and questions.may_ask_all(now):
+        if is_alone and request_pacing.may_ask_all(now):
             asked = wish(keeper.account(team), amount, now)
             self.budget_peers.ask_others(team, asked)
 
@@ -313,7 +313,7 @@
         """Ask for what all calls that wait need."""
         now = self.clock()
         account = self.keeper(team).account(team)
-        if self.questions[team].may_ask_home(now):
+        if self.request_pacing[team].may_ask_home(now):
             needed = account.waiting + borrowed(account, now)
             self.budget_peers.ask(home, team, Wish(needed))
 
@@ -383,7 +383,7 @@
         """Take what the entry ``giver`` has handed over, which may be nothing."""
         keeper = self.keeper(team)
         if giver == self.budget_peers.home_of(self.part(team)):
-            self.questions[team].on_home_answer(self.clock(), bool(amount))
+            self.request_pacing[team].on_home_answer(self.clock(), bool(amount))
         account = keeper.account(team)
         if amount:
             account.take(amount)
--- a/libs/relay/src/clementinebend_relay/questions.py
+++ b/libs/relay/src/clementinebend_relay/request_pacing.py
@@ -5,53 +5,53 @@
 cost more than all else that the entries do.
 """
 
-HOME_PAUSE = 0.03
+HOME_REQUEST_INTERVAL = 0.03
 """Seconds between questions to the home, which answers in some 5 ms; also how
 long it may take to answer."""
 
-PROMISED_SECONDS = 0.08
+EMPTY_ANSWER_SECONDS = 0.08
 """Seconds after an empty answer in which the home is not asked again: it remembers the
 question somewhat longer. Repeated by many entries, questions would take up all the
 processor of a small home, and calls would be refused meanwhile."""
 
-GONE_SECONDS = 0.1
+HOME_GONE_SECONDS = 0.1
 """Seconds of silence after which an entry raises a mark of its own: three questions.
 A home that is held up for one question lives; marks raised too early make many
 entries race with it for the log's end, and calls are refused meanwhile."""
 
-ALL_PAUSE = 0.15
+ALL_REQUEST_INTERVAL = 0.15
 """Seconds between questions to all entries: what they can spare changes as calls
 end, some hundred milliseconds after they began."""
 
-FORGOTTEN = 0.2
+UNANSWERED_EXPIRY_SECONDS = 0.2
 """Seconds after which an answer that did not come says nothing of the home any
 more."""
 
-LONG_AGO = float("-inf")
+NEVER = float("-inf")
 
 
-class Questions:
+class RequestPacing:
     """The questions for one team's budget; times on the steady clock."""
 
     def __init__(self) -> None:
-        self.home_asked_at = LONG_AGO
-        self.all_asked_at = LONG_AGO
+        self.home_asked_at = NEVER
+        self.all_asked_at = NEVER
         self.unanswered_since: float | None = None
-        self.promised_until = LONG_AGO
+        self.home_paused_until = NEVER
 
     def may_ask_home(self, now: float) -> bool:
         """Tell whether the home may be asked, and take it as asked."""
         since = now - self.home_asked_at
-        if since < HOME_PAUSE or now < self.promised_until:
+        if since < HOME_REQUEST_INTERVAL or now < self.home_paused_until:
             return False
-        if since > FORGOTTEN or self.unanswered_since is None:
+        if since > UNANSWERED_EXPIRY_SECONDS or self.unanswered_since is None:
             self.unanswered_since = now
         self.home_asked_at = now
         return True
 
     def may_ask_all(self, now: float) -> bool:
         """Tell whether all may be asked, and take them as asked."""
-        if now - self.all_asked_at < ALL_PAUSE:
+        if now - self.all_asked_at < ALL_REQUEST_INTERVAL:
             return False
         self.all_asked_at = now
         return True
@@ -63,15 +63,15 @@
         """
         self.unanswered_since = None
         if not is_met:
-            self.promised_until = now + PROMISED_SECONDS
+            self.home_paused_until = now + EMPTY_ANSWER_SECONDS
 
     def is_home_silent(self, now: float) -> bool:
         """Tell whether the home has left a question without an answer."""
-        return self._silent_for(now) >= HOME_PAUSE
+        return self._silent_for(now) >= HOME_REQUEST_INTERVAL
 
     def is_home_gone(self, now: float) -> bool:
         """Tell whether the home has been silent for so long that it may be gone."""
-        return self._silent_for(now) >= GONE_SECONDS
+        return self._silent_for(now) >= HOME_GONE_SECONDS
 
     def _silent_for(self, now: float) -> float:
         since = self.unanswered_since
--- a/tests/unit/relay/test_questions.py
+++ b/tests/unit/relay/test_request_pacing.py
@@ -11,7 +11,11 @@
 from clementinebend_relay.mark_keeper import GUEST_HURRY
 from clementinebend_relay.mark_view import Shortfall
 from clementinebend_relay.models import Team
-from clementinebend_relay.questions import ALL_PAUSE, HOME_PAUSE, Questions
+from clementinebend_relay.request_pacing import (
+    ALL_REQUEST_INTERVAL,
+    HOME_REQUEST_INTERVAL,
+    RequestPacing,
+)
 from clementinebend_relay.witnesses import Witnesses
 from tests.unit.relay.mark_world import TEAM, FakeLog
 
@@ -66,27 +70,27 @@
 
 
 def test_the_home_is_silent_once_it_has_left_a_question_unanswered() -> None:
-    questions = Questions()
-    assert questions.may_ask_home(0.0)
-    assert not questions.may_ask_home(HOME_PAUSE / 2)
-    assert not questions.is_home_silent(HOME_PAUSE / 2)
-    assert questions.is_home_silent(HOME_PAUSE)
-    questions.on_home_answer(HOME_PAUSE, is_met=True)
-    assert not questions.is_home_silent(2.0)
+    request_pacing = RequestPacing()
+    assert request_pacing.may_ask_home(0.0)
+    assert not request_pacing.may_ask_home(HOME_REQUEST_INTERVAL / 2)
+    assert not request_pacing.is_home_silent(HOME_REQUEST_INTERVAL / 2)
+    assert request_pacing.is_home_silent(HOME_REQUEST_INTERVAL)
+    request_pacing.on_home_answer(HOME_REQUEST_INTERVAL, is_met=True)
+    assert not request_pacing.is_home_silent(2.0)
 
 
 def test_an_answer_that_never_came_is_forgotten() -> None:
-    questions = Questions()
-    questions.may_ask_home(1.0)
-    assert questions.may_ask_home(60.0)
-    assert not questions.is_home_silent(60.0 + HOME_PAUSE / 2)
+    request_pacing = RequestPacing()
+    request_pacing.may_ask_home(1.0)
+    assert request_pacing.may_ask_home(60.0)
+    assert not request_pacing.is_home_silent(60.0 + HOME_REQUEST_INTERVAL / 2)
 
 
 def test_all_are_asked_now_and_then() -> None:
-    questions = Questions()
-    assert questions.may_ask_all(0.0)
-    assert not questions.may_ask_all(ALL_PAUSE / 2)
-    assert questions.may_ask_all(ALL_PAUSE)
+    request_pacing = RequestPacing()
+    assert request_pacing.may_ask_all(0.0)
+    assert not request_pacing.may_ask_all(ALL_REQUEST_INTERVAL / 2)
+    assert request_pacing.may_ask_all(ALL_REQUEST_INTERVAL)
 
 
 def made_budgets(log: FakeLog) -> Budgets:
@@ -120,8 +124,8 @@
     waits = (budgets.reserve(team, 100, WAIT) for _ in range(50))
     outcomes = await gather(*waits)
     assert all(isinstance(outcome, Shortfall) for outcome in outcomes)
-    assert 2 <= others.asked_home <= WAIT / HOME_PAUSE + 2
-    assert others.asked_all <= WAIT / ALL_PAUSE + 1
+    assert 2 <= others.asked_home <= WAIT / HOME_REQUEST_INTERVAL + 2
+    assert others.asked_all <= WAIT / ALL_REQUEST_INTERVAL + 1
     assert budgets.keepers[0].urgent.is_set() != answers
 
 
