--- a/libs/ledger/src/clementinebend_ledger/mark_account.py
+++ b/libs/ledger/src/clementinebend_ledger/mark_account.py
@@ -25,7 +25,7 @@
 """Part of the largest reservation seen that is kept with each new one."""
 
 
-class MarkAccount:
+class QuotaAccount:
     """One team's budget in this holder's hands; owned by one task.
 
     ``limit`` is what may be spent whatever has become of records on their way.
--- a/libs/ledger/src/clementinebend_ledger/mark_gifts.py
+++ b/libs/ledger/src/clementinebend_ledger/mark_gifts.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from clementinebend_ledger.mark_account import MarkAccount
+from clementinebend_ledger.mark_account import QuotaAccount
 
 KEPT_SECONDS = 0.05
 """Seconds of its own demand that a holder keeps when it is asked."""
@@ -24,12 +24,12 @@
     amount: int
 
 
-def wish(account: MarkAccount, least: int, now: float) -> Wish:
+def wish(account: QuotaAccount, least: int, now: float) -> Wish:
     """Return what a holder that lacks ``least`` tokens should ask for."""
     return Wish(least + int(ASKED_SECONDS * account.rate(now)))
 
 
-def gift(account: MarkAccount, asked: Wish, now: float) -> int:
+def gift(account: QuotaAccount, asked: Wish, now: float) -> int:
     """Return what this holder hands over.
 
     A part too small for the call at hand is of use, too: several holders are
--- a/libs/ledger/src/clementinebend_ledger/mark_sizing.py
+++ b/libs/ledger/src/clementinebend_ledger/mark_sizing.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from clementinebend_ledger.mark_account import MarkAccount
-from clementinebend_ledger.marks import Mark
+from clementinebend_ledger.mark_account import QuotaAccount
+from clementinebend_ledger.quotas import Quota
 
 HORIZON_SECONDS = 3.0
 """Seconds of demand kept at hand for outages of the log itself, of some 4 s; a
@@ -66,9 +66,9 @@
 
 
 def allot(
-    account: MarkAccount,
-    own: Mark,
-    others: Mapping[str, Mark],
+    account: QuotaAccount,
+    own: Quota,
+    others: Mapping[str, Quota],
     live: frozenset[str],
     prepaid: int,
     is_home: bool,
@@ -81,11 +81,11 @@
     ``others`` leave, unless that much is already used. ``append_seconds`` is
     how long an append takes at present.
     """
-    lost = sum(mark.ceiling for name, mark in others.items() if name not in live)
-    known = sum(mark.spent for name, mark in others.items() if name in live)
+    lost = sum(quota.ceiling for name, quota in others.items() if name not in live)
+    known = sum(quota.spent for name, quota in others.items() if name in live)
     pool = prepaid - lost - known - account.used
-    unspent = prepaid - account.used - sum(mark.spent for mark in others.values())
-    bound = prepaid - sum(mark.ceiling for mark in others.values())
+    unspent = prepaid - account.used - sum(quota.spent for quota in others.values())
+    bound = prepaid - sum(quota.ceiling for quota in others.values())
     if is_home:
         free, without_witnesses = _home_size(
             account, pool, prepaid, append_seconds, now
@@ -97,7 +97,7 @@
     return Allotment(ceiling, unwitnessed, pool, unspent)
 
 
-def borrowed(account: MarkAccount, now: float) -> int:
+def borrowed(account: QuotaAccount, now: float) -> int:
     """Return what an entry should have at hand of a budget it is not home of.
 
     Nothing if that would not do for a call: it would only lie there.
@@ -106,7 +106,7 @@
     return tokens if tokens >= account.largest else 0
 
 
-def at_once(account: MarkAccount, append_seconds: float, now: float) -> float:
+def at_once(account: QuotaAccount, append_seconds: float, now: float) -> float:
     """Return what a home should be able to spend without witnesses, in tokens."""
     seconds = UNWITNESSED_SECONDS + 2 * append_seconds
     seconds = min(seconds, MOST_UNWITNESSED_SECONDS)
@@ -114,7 +114,7 @@
 
 
 def _home_size(
-    account: MarkAccount, pool: int, prepaid: int, append_seconds: float, now: float
+    account: QuotaAccount, pool: int, prepaid: int, append_seconds: float, now: float
 ) -> tuple[int, int]:
     """Return what a home should have free, and what of it without witnesses."""
     rate = max(LEAST_RATE, account.rate(now))
@@ -128,7 +128,7 @@
 
 
 def _guest_size(
-    account: MarkAccount, own: Mark, pool: int, now: float
+    account: QuotaAccount, own: Quota, pool: int, now: float
 ) -> tuple[int, int]:
     """Return the same for an entry that is not the home.
 
--- a/libs/ledger/src/clementinebend_ledger/mark_witness.py
+++ b/libs/ledger/src/clementinebend_ledger/mark_witness.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from clementinebend_ledger.marks import HolderRecord
+from clementinebend_ledger.quotas import HolderRecord
 
 NO_EPOCH = -1
 
--- a/libs/ledger/src/clementinebend_ledger/marks.py
+++ b/libs/ledger/src/clementinebend_ledger/quotas.py
@@ -18,12 +18,12 @@
 from heapq import nlargest
 from typing import NamedTuple
 
-RECENT_MARKS = 3
+RECENT_QUOTAS = 3
 """How many of the newest marks of a budget are searched for its current rate.
 More than one, as holders other than the last home also write marks."""
 
 
-class Mark(NamedTuple):
+class Quota(NamedTuple):
     """One holder's part of a team's budget, as the log has it.
 
     ``ceiling`` bounds what the holder ever spends, ``unwitnessed`` what it
@@ -52,47 +52,47 @@
     witnesses: tuple[Witness, ...]
 
 
-class MarkKey(NamedTuple):
+class QuotaKey(NamedTuple):
     """Whose mark, of which team's budget."""
 
     team: str
     holder: str
 
 
-class MarkBook(NamedTuple):
+class QuotaBook(NamedTuple):
     """All marks of one log partition, by team and holder.
 
     ``offsets`` are those of the newest records; ``end`` is the offset up to
     which the log has been read.
     """
 
-    teams: dict[str, dict[str, Mark]]
+    teams: dict[str, dict[str, Quota]]
     holders: dict[str, HolderRecord]
-    offsets: dict[MarkKey, int]
+    offsets: dict[QuotaKey, int]
     end: int = 0
 
 
-def empty_book() -> MarkBook:
+def empty_book() -> QuotaBook:
     """Return the book of a log without records."""
-    return MarkBook({}, {}, {})
+    return QuotaBook({}, {}, {})
 
 
-def put_mark(book: MarkBook, key: MarkKey, mark: Mark | None, offset: int) -> None:
+def put_quota(book: QuotaBook, key: QuotaKey, quota: Quota | None, offset: int) -> None:
     """Take a team's mark at ``offset``; one older than the newest is ignored."""
     if not _is_newer(book, key, offset):
         return
-    marks = book.teams.setdefault(key.team, {})
-    if mark is None:
-        marks.pop(key.holder, None)
+    quotas = book.teams.setdefault(key.team, {})
+    if quota is None:
+        quotas.pop(key.holder, None)
     else:
-        marks[key.holder] = mark
+        quotas[key.holder] = quota
 
 
 def put_holder(
-    book: MarkBook, holder: str, record: HolderRecord | None, offset: int
+    book: QuotaBook, holder: str, record: HolderRecord | None, offset: int
 ) -> None:
     """Take a holder's record at ``offset``; an older one is ignored."""
-    if not _is_newer(book, MarkKey("", holder), offset):
+    if not _is_newer(book, QuotaKey("", holder), offset):
         return
     if record is None:
         book.holders.pop(holder, None)
@@ -100,36 +100,36 @@
         book.holders[holder] = record
 
 
-def others(book: MarkBook, team: str, holder: str) -> dict[str, Mark]:
+def others(book: QuotaBook, team: str, holder: str) -> dict[str, Quota]:
     """Return the marks of all holders of ``team`` but ``holder``."""
-    marks = book.teams.get(team, {})
-    return {name: mark for name, mark in marks.items() if name != holder}
+    quotas = book.teams.get(team, {})
+    return {name: quota for name, quota in quotas.items() if name != holder}
 
 
-def max_recent_rate(book: MarkBook, team: str, holder: str) -> int:
+def max_recent_rate(book: QuotaBook, team: str, holder: str) -> int:
     """Return the largest rate in the newest marks of ``team``, or 0 without marks.
 
     The mark of ``holder`` is excluded: its account has its own rate.
     """
-    marks = others(book, team, holder)
-    offsets = {name: book.offsets[MarkKey(team, name)] for name in marks}
-    newest = nlargest(RECENT_MARKS, offsets, key=offsets.__getitem__)
-    return max((marks[name].rate for name in newest), default=0)
+    quotas = others(book, team, holder)
+    offsets = {name: book.offsets[QuotaKey(team, name)] for name in quotas}
+    newest = nlargest(RECENT_QUOTAS, offsets, key=offsets.__getitem__)
+    return max((quotas[name].rate for name in newest), default=0)
 
 
-def reclaimable(book: MarkBook, holder: str) -> dict[str, Mark]:
+def reclaimable(book: QuotaBook, holder: str) -> dict[str, Quota]:
     """Return the marks of a holder without its reserves, where it has any.
 
     They may be written once a witness has proved the reserves unspent.
     """
     return {
-        team: marks[holder]._replace(ceiling=marks[holder].unwitnessed)
-        for team, marks in book.teams.items()
-        if holder in marks and marks[holder].ceiling > marks[holder].unwitnessed
+        team: quotas[holder]._replace(ceiling=quotas[holder].unwitnessed)
+        for team, quotas in book.teams.items()
+        if holder in quotas and quotas[holder].ceiling > quotas[holder].unwitnessed
     }
 
 
-def _is_newer(book: MarkBook, key: MarkKey, offset: int) -> bool:
+def _is_newer(book: QuotaBook, key: QuotaKey, offset: int) -> bool:
     if offset <= book.offsets.get(key, -1):
         return False
     book.offsets[key] = offset
--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -13,7 +13,7 @@
 from clementinebend_platform_client.keyed_log import KeyedLog
 from clementinebend_relay.budget_peers import BudgetPeers, NoPeers
 from clementinebend_relay.mark_keeper import MarkKeeper
-from clementinebend_relay.mark_view import FRESH_SECONDS, MarkView, Shortfall
+from clementinebend_relay.mark_view import FRESH_SECONDS, QuotaView, Shortfall
 from clementinebend_relay.messages import RemainingBudget
 from clementinebend_relay.models import Configuration, Team
 from clementinebend_relay.request_pacing import HOME_REQUEST_INTERVAL, RequestPacing
@@ -146,8 +146,8 @@
     def _is_home(self, part: int) -> bool:
         return self.budget_peers.home_of(part) is None
 
-    def _view(self, holder: str, part: int, witnesses: Witnesses) -> MarkView:
-        return MarkView(
+    def _view(self, holder: str, part: int, witnesses: Witnesses) -> QuotaView:
+        return QuotaView(
             holder,
             witnesses,
             lambda other: self.is_succeeded(boot_of(other)),
--- a/libs/relay/src/clementinebend_relay/mark_keeper.py
+++ b/libs/relay/src/clementinebend_relay/mark_keeper.py
@@ -9,7 +9,7 @@
 from itertools import count
 from random import random
 
-from clementinebend_ledger.mark_account import MarkAccount
+from clementinebend_ledger.mark_account import QuotaAccount
 from clementinebend_platform_client.keyed_log import (
     Appended,
     Conflict,
@@ -21,8 +21,8 @@
 )
 from clementinebend_platform_client.newest_records import NewestRecords
 from clementinebend_relay.decisions import log_dependency
-from clementinebend_relay.mark_plan import REWRITE_SECONDS, MarkPlan
-from clementinebend_relay.mark_view import MarkView, Pending, Shortfall
+from clementinebend_relay.mark_plan import REWRITE_SECONDS, QuotaPlan
+from clementinebend_relay.mark_view import Pending, QuotaView, Shortfall
 
 COMMIT_SECONDS = 0.5
 """Pause between commits. A finished run must be settled within 1.5 s."""
@@ -62,12 +62,12 @@
 class MarkKeeper:
     """The marks of some teams: one partition of the log, owned by one task."""
 
-    def __init__(self, view: MarkView, log: KeyedLog) -> None:
+    def __init__(self, view: QuotaView, log: KeyedLog) -> None:
         self.view = view
         self.log = log
         self.clock = view.clock
         self.newest = NewestRecords(log, view.clock)
-        self.plan = MarkPlan(view)
+        self.plan = QuotaPlan(view)
         self.offset: int | None = None
         self.lost_at: float | None = None
         self.called_at: float | None = None
@@ -80,7 +80,7 @@
         self.on_wake: Callable[[], None] | None = None
         view.witnesses.on_attestation.append(self._on_attestation)
 
-    def account(self, team: str) -> MarkAccount:
+    def account(self, team: str) -> QuotaAccount:
         """Return the account of a team; a new one holds nothing."""
         return self.view.account(team)
 
@@ -210,13 +210,13 @@
             if await self._is_hurried(COMMIT_SECONDS):
                 self.is_asked_for = True
                 return
-            if self.view.has_open_marks() and self.clock() >= until:
+            if self.view.has_open_quotas() and self.clock() >= until:
                 return
 
     def _is_idle_guest(self) -> bool:
         if self.view.is_home() or self.plan.is_closing or self.lost_at is not None:
             return False
-        if self.is_asked_for or self.view.has_open_marks():
+        if self.is_asked_for or self.view.has_open_quotas():
             return False
         return not self.urgent.is_set()
 
--- a/libs/relay/src/clementinebend_relay/mark_plan.py
+++ b/libs/relay/src/clementinebend_relay/mark_plan.py
@@ -3,9 +3,9 @@
 from msgspec.msgpack import encode
 
 from clementinebend_ledger.mark_witness import is_unopened
-from clementinebend_ledger.marks import HolderRecord, Mark, reclaimable
+from clementinebend_ledger.quotas import HolderRecord, Quota, reclaimable
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.mark_view import NO_MARK, SEPARATOR, MarkView, Pending
+from clementinebend_relay.mark_view import NO_QUOTA, SEPARATOR, Pending, QuotaView
 
 REWRITE_SECONDS = 1.0
 """Longest time between records of a holder that lives."""
@@ -18,10 +18,10 @@
 """The same, of the whole mark."""
 
 
-class MarkPlan:
+class QuotaPlan:
     """Works out one append after the other."""
 
-    def __init__(self, view: MarkView) -> None:
+    def __init__(self, view: QuotaView) -> None:
         self.view = view
         self.epoch = 0
         self.is_closing = False
@@ -42,50 +42,53 @@
         is_due = is_home and (
             written_at is None or view.clock() - written_at > REWRITE_SECONDS
         )
-        marks = self._due_marks(live, is_home)
+        quotas = self._due_quotas(live, is_home)
         reclaimed = self._reclaimed(live)
-        if not (marks or reclaimed or is_due or chosen != known.witnesses):
+        if not (quotas or reclaimed or is_due or chosen != known.witnesses):
             return None
         self.epoch = max(self.epoch, known.epoch) + 1
         record = HolderRecord(self.epoch, chosen)
         records = (
             (SEPARATOR + view.holder, encode(record)),
-            *((team + SEPARATOR + view.holder, encode(marks[team])) for team in marks),
+            *(
+                (team + SEPARATOR + view.holder, encode(quotas[team]))
+                for team in quotas
+            ),
             *reclaimed,
         )
-        return Pending(view.book.end, record, marks, records)
+        return Pending(view.book.end, record, quotas, records)
 
-    def _due_marks(self, live: frozenset[str], is_home: bool) -> dict[str, Mark]:
-        known = self.view.mark
+    def _due_quotas(self, live: frozenset[str], is_home: bool) -> dict[str, Quota]:
+        known = self.view.quota
         return {
-            team: mark
+            team: quota
             for team in self.view.prepaid
             if self._is_due(
-                team, mark := self._wanted(team, live), known(team), is_home
+                team, quota := self._wanted(team, live), known(team), is_home
             )
         }
 
-    def _wanted(self, team: str, live: frozenset[str]) -> Mark:
+    def _wanted(self, team: str, live: frozenset[str]) -> Quota:
         account = self.view.account(team)
         allotment = self.view.allot(team, live)
         ceiling, unwitnessed = allotment.ceiling, allotment.unwitnessed
         if self.is_closing:
             ceiling = unwitnessed = account.used
         rate = int(account.rate(self.view.clock()))
-        return Mark(ceiling, unwitnessed, account.spent, rate)
+        return Quota(ceiling, unwitnessed, account.spent, rate)
 
-    def _is_due(self, team: str, mark: Mark, known: Mark, is_home: bool) -> bool:
+    def _is_due(self, team: str, quota: Quota, known: Quota, is_home: bool) -> bool:
         """Tell whether a change is worth a record; the last one is exact.
 
         However little calls lack that wait for it, they get it.
         """
         if self.is_closing:
-            return mark != known._replace(rate=mark.rate)
+            return quota != known._replace(rate=quota.rate)
         account = self.view.account(team)
         lacking = account.waiting + account.asked_now(self.view.clock())
-        if lacking > account.free and mark.unwitnessed > known.unwitnessed:
+        if lacking > account.free and quota.unwitnessed > known.unwitnessed:
             return True
-        return _is_worth_it(mark, known, is_home)
+        return _is_worth_it(quota, known, is_home)
 
     def _reclaimed(self, live: frozenset[str]) -> tuple[tuple[str, bytes], ...]:
         """Return the marks of dead holders, without reserves proved unspent."""
@@ -94,21 +97,21 @@
         for holder, head in view.book.holders.items():
             if holder == view.holder or holder in live:
                 continue
-            marks = reclaimable(view.book, holder)
-            if not marks:
+            quotas = reclaimable(view.book, holder)
+            if not quotas:
                 continue
             if not is_unopened(head, view.witnesses.of(holder)):
                 view.witnesses.fence(holder, head)
                 continue
-            log_decision("reserve reclaimed", holder=holder, teams=len(marks))
+            log_decision("reserve reclaimed", holder=holder, teams=len(quotas))
             records.extend(
-                (team + SEPARATOR + holder, encode(mark))
-                for team, mark in marks.items()
+                (team + SEPARATOR + holder, encode(quota))
+                for team, quota in quotas.items()
             )
         return tuple(records)
 
 
-def _is_worth_it(mark: Mark, known: Mark, is_home: bool) -> bool:
+def _is_worth_it(quota: Quota, known: Quota, is_home: bool) -> bool:
     """Tell whether a change is large enough: more, much less, or settled.
 
     An entry that is not the home spends what the home has handed over and counts
@@ -118,8 +121,8 @@
     step = max(1, (known.unwitnessed - known.spent) // SPENDABLE_STEP)
     ceiling_step = max(step, (known.ceiling - known.spent) // CEILING_STEP)
     is_sized = (
-        abs(mark.ceiling - known.ceiling) >= ceiling_step
-        or abs(mark.unwitnessed - known.unwitnessed) >= step
+        abs(quota.ceiling - known.ceiling) >= ceiling_step
+        or abs(quota.unwitnessed - known.unwitnessed) >= step
     )
-    has_mark = is_home or known != NO_MARK
-    return is_sized or (has_mark and abs(mark.spent - known.spent) >= step)
+    has_quota = is_home or known != NO_QUOTA
+    return is_sized or (has_quota and abs(quota.spent - known.spent) >= step)
--- a/libs/relay/src/clementinebend_relay/mark_view.py
+++ b/libs/relay/src/clementinebend_relay/mark_view.py
@@ -9,18 +9,18 @@
 from msgspec import DecodeError, ValidationError
 from msgspec.msgpack import decode
 
-from clementinebend_ledger.mark_account import MarkAccount
+from clementinebend_ledger.mark_account import QuotaAccount
 from clementinebend_ledger.mark_sizing import Allotment, allot
 from clementinebend_ledger.mark_witness import is_opened
-from clementinebend_ledger.marks import (
+from clementinebend_ledger.quotas import (
     HolderRecord,
-    Mark,
-    MarkKey,
+    Quota,
+    QuotaKey,
     empty_book,
     max_recent_rate,
     others,
     put_holder,
-    put_mark,
+    put_quota,
 )
 from clementinebend_platform_client.keyed_log import KeyedRecord, Page
 from clementinebend_relay.decisions import log_decision
@@ -34,7 +34,7 @@
 FRESH_SECONDS = 2.0
 """How old a reading of the marks may be for a refusal that is final."""
 
-NO_MARK = Mark(0, 0, 0, 0)
+NO_QUOTA = Quota(0, 0, 0, 0)
 NO_RECORD = HolderRecord(0, ())
 
 SEPARATOR = "/"
@@ -47,7 +47,7 @@
 
     at: int
     record: HolderRecord
-    marks: dict[str, Mark]
+    quotas: dict[str, Quota]
     records: tuple[tuple[str, bytes], ...]
 
 
@@ -66,7 +66,7 @@
     age: float | None
 
 
-class MarkView:
+class QuotaView:
     """The marks as one holder knows them, and its accounts.
 
     ``pending`` is an append that may or may not be in the log: until that is
@@ -89,7 +89,7 @@
         self.is_home = is_home
         self.clock = clock
         self.book = empty_book()
-        self.accounts: dict[str, MarkAccount] = {}
+        self.accounts: dict[str, QuotaAccount] = {}
         self.prepaid: dict[str, int] = {}
         self.pending: Pending | None = None
         self.append_seconds = 0.0
@@ -97,11 +97,11 @@
         self.heard: dict[str, float] = {}
         self.taken_over: set[str] = set()
 
-    def account(self, team: str) -> MarkAccount:
+    def account(self, team: str) -> QuotaAccount:
         """Return the account of a team; a new one holds nothing."""
         account = self.accounts.get(team)
         if account is None:
-            account = self.accounts[team] = MarkAccount(self.clock())
+            account = self.accounts[team] = QuotaAccount(self.clock())
             account.limit = self._limit(team)
         return account
 
@@ -138,15 +138,15 @@
         for team, account in self.accounts.items():
             account.limit = self._limit(team)
 
-    def mark(self, team: str) -> Mark:
+    def quota(self, team: str) -> Quota:
         """Return this holder's mark of a team, as the log has it."""
-        return self.book.teams.get(team, {}).get(self.holder, NO_MARK)
+        return self.book.teams.get(team, {}).get(self.holder, NO_QUOTA)
 
-    def has_open_marks(self) -> bool:
+    def has_open_quotas(self) -> bool:
         """Tell whether this holder's marks let it spend more than it has."""
-        own = (marks.get(self.holder, NO_MARK) for marks in self.book.teams.values())
+        own = (quotas.get(self.holder, NO_QUOTA) for quotas in self.book.teams.values())
         return self.pending is not None or any(
-            mark.ceiling > mark.spent for mark in own
+            quota.ceiling > quota.spent for quota in own
         )
 
     def record(self) -> HolderRecord:
@@ -181,7 +181,7 @@
         self._raise_rates_on_takeover(team)
         return allot(
             self.account(team),
-            self.mark(team),
+            self.quota(team),
             others(self.book, team, self.holder),
             live,
             self.prepaid[team],
@@ -206,8 +206,8 @@
         team, _, holder = record.key.rpartition(SEPARATOR)
         try:
             if team:
-                mark = decode(record.value, type=Mark) if record.value else None
-                put_mark(self.book, MarkKey(team, holder), mark, record.offset)
+                quota = decode(record.value, type=Quota) if record.value else None
+                put_quota(self.book, QuotaKey(team, holder), quota, record.offset)
             else:
                 head = decode(record.value, type=HolderRecord) if record.value else None
                 put_holder(self.book, holder, head, record.offset)
@@ -220,12 +220,12 @@
 
     def _limit(self, team: str) -> int:
         """Return what may be spent whichever of the records is in the log."""
-        mark = self.mark(team)
-        limit = self._spendable(self.record(), mark)
+        quota = self.quota(team)
+        limit = self._spendable(self.record(), quota)
         if self.pending is None:
             return limit
-        mark = self.pending.marks.get(team, mark)
-        return min(limit, self._spendable(self.pending.record, mark))
+        quota = self.pending.quotas.get(team, quota)
+        return min(limit, self._spendable(self.pending.record, quota))
 
-    def _spendable(self, record: HolderRecord, mark: Mark) -> int:
-        return mark.ceiling if self._is_opened(record) else mark.unwitnessed
+    def _spendable(self, record: HolderRecord, quota: Quota) -> int:
+        return quota.ceiling if self._is_opened(record) else quota.unwitnessed
--- a/tests/unit/ledger/test_mark_witness.py
+++ b/tests/unit/ledger/test_mark_witness.py
@@ -9,7 +9,7 @@
     is_opened,
     is_unopened,
 )
-from clementinebend_ledger.marks import HolderRecord, Witness
+from clementinebend_ledger.quotas import HolderRecord, Witness
 
 HOLDER = "entry-1#a@0"
 FIRST, SECOND = Witness("w1", "10.0.0.1", 1), Witness("w2", "10.0.0.2", 1)
--- a/tests/unit/ledger/test_marks.py
+++ b/tests/unit/ledger/test_quotas.py
@@ -1,24 +1,24 @@
 """Tests of the rates with which a new home of a budget starts."""
 
-from clementinebend_ledger.mark_account import MarkAccount
-from clementinebend_ledger.marks import (
-    Mark,
-    MarkBook,
-    MarkKey,
+from clementinebend_ledger.mark_account import QuotaAccount
+from clementinebend_ledger.quotas import (
+    Quota,
+    QuotaBook,
+    QuotaKey,
     empty_book,
     max_recent_rate,
-    put_mark,
+    put_quota,
 )
 
 TEAM = "desk"
 
 
-def book_with_rates(*rates: int) -> MarkBook:
+def book_with_rates(*rates: int) -> QuotaBook:
     """Return a book with one mark per rate, each of another holder, oldest first."""
     book = empty_book()
     for number, rate in enumerate(rates):
-        key = MarkKey(TEAM, f"entry-{number}#1@0")
-        put_mark(book, key, Mark(100, 50, 10, rate), number)
+        key = QuotaKey(TEAM, f"entry-{number}#1@0")
+        put_quota(book, key, Quota(100, 50, 10, rate), number)
     return book
 
 
@@ -34,7 +34,7 @@
 
 
 def test_raised_rates_decay_and_are_never_lowered() -> None:
-    account = MarkAccount(0.0)
+    account = QuotaAccount(0.0)
     account.raise_rates(40_000, 0.0)
     assert account.peak_rate(0.0) == 40_000
     assert account.peak_rate(30.0) < 1_500
--- a/tests/unit/relay/mark_world.py
+++ b/tests/unit/relay/mark_world.py
@@ -8,7 +8,7 @@
 
 from clementinebend_ledger.mark_gifts import Wish
 from clementinebend_ledger.mark_transfers import TransferBook
-from clementinebend_ledger.marks import Mark
+from clementinebend_ledger.quotas import Quota
 from clementinebend_platform_client.keyed_log import (
     Appended,
     Conflict,
@@ -232,22 +232,22 @@
     def total(self) -> int:
         return sum(self.spent.values())
 
-    def marks(self) -> dict[str, Mark]:
+    def quotas(self) -> dict[str, Quota]:
         """Return the newest mark of each boot in the log."""
         newest = {record.key: record.value for record in self.records}
         return {
-            boot_of(key.removeprefix(f"{TEAM}/")): decode(value, type=Mark)
+            boot_of(key.removeprefix(f"{TEAM}/")): decode(value, type=Quota)
             for key, value in newest.items()
             if key.startswith(f"{TEAM}/")
         }
 
-    def over_marks(self) -> dict[str, int]:
+    def over_quotas(self) -> dict[str, int]:
         """Return by how much each boot, dead or alive, is above its mark."""
-        marks = self.marks()
+        quotas = self.quotas()
         return {
             boot: used - ceiling
             for boot, used in self.spent.items()
-            if used > (ceiling := marks[boot].ceiling if boot in marks else 0)
+            if used > (ceiling := quotas[boot].ceiling if boot in quotas else 0)
         }
 
     def commit(self, number: int) -> bool:
--- a/tests/unit/relay/test_mark_keeper.py
+++ b/tests/unit/relay/test_mark_keeper.py
@@ -62,7 +62,7 @@
     entry.keeper.plan.is_closing = False
     spend_all(world, 0)
     world.land_late()
-    assert not world.over_marks()
+    assert not world.over_quotas()
 
 
 def test_an_append_without_answer_is_sent_again_unchanged(world: MarkWorld) -> None:
@@ -77,19 +77,19 @@
     assert first == second
     spend_all(world, 0)
     world.land_late()
-    assert not world.over_marks()
+    assert not world.over_quotas()
 
 
 def test_an_unopened_reserve_of_a_dead_holder_is_free_again(world: MarkWorld) -> None:
     raise_demand(world, 0)
     dead = world.entries[0].boot
-    mark = world.marks()[dead]
-    assert mark.ceiling > mark.unwitnessed
+    quota = world.quotas()[dead]
+    assert quota.ceiling > quota.unwitnessed
     world.restart(0)
     world.commit(1)
     world.deliver()
     world.commit(1)
-    assert world.marks()[dead].ceiling == mark.unwitnessed
+    assert world.quotas()[dead].ceiling == quota.unwitnessed
 
 
 def test_an_opened_reserve_of_a_dead_holder_stays_lost(world: MarkWorld) -> None:
@@ -97,14 +97,14 @@
     open_reserve(world, 0)
     spend_all(world, 0)
     dead = world.entries[0].boot
-    mark = world.marks()[dead]
+    quota = world.quotas()[dead]
     world.restart(0)
     for _ in range(3):
         world.clock.now += 3.0
         world.commit(1)
         world.deliver()
-    assert world.marks()[dead].ceiling == mark.ceiling
-    assert not world.over_marks()
+    assert world.quotas()[dead].ceiling == quota.ceiling
+    assert not world.over_quotas()
 
 
 def test_a_live_holder_taken_for_dead_loses_only_its_reserve(world: MarkWorld) -> None:
@@ -116,9 +116,9 @@
     world.commit(1)
     open_reserve(world, 0)
     spend_all(world, 0)
-    assert not world.over_marks()
+    assert not world.over_quotas()
     world.commit(0)
-    assert world.marks()[entry.boot].ceiling >= entry.account.used
+    assert world.quotas()[entry.boot].ceiling >= entry.account.used
 
 
 def test_what_is_handed_over_is_counted_once(world: MarkWorld) -> None:
@@ -127,14 +127,14 @@
     world.hand_over(0, 1, 50, arrives=True)
     spend_all(world, 0)
     spend_all(world, 1)
-    assert world.total() <= sum(mark.ceiling for mark in world.marks().values())
+    assert world.total() <= sum(quota.ceiling for quota in world.quotas().values())
 
 
 def test_a_planned_end_gives_back_what_is_unused(world: MarkWorld) -> None:
     raise_demand(world, 0)
     entry = world.entries[0]
     world.loop.run_until_complete(entry.budgets.release(1.0))
-    assert world.marks()[entry.boot].ceiling == entry.account.used
+    assert world.quotas()[entry.boot].ceiling == entry.account.used
 
 
 def test_a_holder_that_is_heard_lives_though_it_writes_nothing(
@@ -162,7 +162,7 @@
     spend_all(world, 0)
     entry.finish(1.0)
     world.commit(0)
-    assert world.marks()[entry.boot].spent == entry.account.spent
+    assert world.quotas()[entry.boot].spent == entry.account.spent
 
 
 def test_a_budget_that_is_spent_is_told_so(world: MarkWorld) -> None:
@@ -192,13 +192,13 @@
         entry.account.demand(400, world.clock())
     world.hand_over(0, 1, 500, arrives=True)
     world.commit(1)
-    assert world.marks()[entry.boot].ceiling < 0
+    assert world.quotas()[entry.boot].ceiling < 0
     assert entry.account.free > 0
     assert entry.call(entry.account.free)
     entry.finish(1.0)
     assert entry.keeper.plan.next_append(world.clock()) is not None
     world.commit(1)
-    assert world.marks()[entry.boot].spent == entry.account.spent
+    assert world.quotas()[entry.boot].spent == entry.account.spent
 
 
 def test_what_is_asked_for_again_and_again_is_no_demand(world: MarkWorld) -> None:
--- a/tests/unit/relay/test_marks_stateful.py
+++ b/tests/unit/relay/test_marks_stateful.py
@@ -116,12 +116,12 @@
 
     @invariant()
     def nobody_is_above_its_mark(self) -> None:
-        assert not self.world.over_marks()
+        assert not self.world.over_quotas()
 
     @invariant()
     def marks_fit_the_budget(self) -> None:
-        marks = self.world.marks().values()
-        assert sum(mark.ceiling for mark in marks) <= self.world.prepaid
+        quotas = self.world.quotas().values()
+        assert sum(quota.ceiling for quota in quotas) <= self.world.prepaid
 
 
 def test_marks_never_exceed_the_budget() -> None:
