--- a/libs/ledger/src/clementinebend_ledger/mark_gifts.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_requests.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from clementinebend_ledger.mark_account import QuotaAccount
+from clementinebend_ledger.quota_account import QuotaAccount
 
 KEPT_SECONDS = 0.05
 """Seconds of its own demand that a holder keeps when it is asked."""
--- a/libs/ledger/src/clementinebend_ledger/mark_sizing.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_sizing.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from clementinebend_ledger.mark_account import QuotaAccount
+from clementinebend_ledger.quota_account import QuotaAccount
 from clementinebend_ledger.quotas import Quota
 
 HORIZON_SECONDS = 3.0
--- a/libs/relay/src/clementinebend_relay/budget_peers.py
+++ b/libs/relay/src/clementinebend_relay/budget_peers.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from clementinebend_ledger.mark_gifts import Wish
+from clementinebend_ledger.quota_requests import Wish
 
 
 class BudgetPeers(Protocol):
--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -8,14 +8,14 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from clementinebend_ledger.mark_gifts import Wish, gift, wish
-from clementinebend_ledger.mark_sizing import at_once, borrowed
+from clementinebend_ledger.quota_requests import Wish, gift, wish
+from clementinebend_ledger.quota_sizing import at_once, borrowed
 from clementinebend_platform_client.keyed_log import KeyedLog
 from clementinebend_relay.budget_peers import BudgetPeers, NoPeers
-from clementinebend_relay.mark_keeper import MarkKeeper
-from clementinebend_relay.mark_view import FRESH_SECONDS, QuotaView, Shortfall
 from clementinebend_relay.messages import RemainingBudget
 from clementinebend_relay.models import Configuration, Team
+from clementinebend_relay.quota_manager import MarkKeeper
+from clementinebend_relay.quota_view import FRESH_SECONDS, QuotaView, Shortfall
 from clementinebend_relay.request_pacing import HOME_REQUEST_INTERVAL, RequestPacing
 from clementinebend_relay.witnesses import Witnesses
 
--- a/libs/relay/src/clementinebend_relay/handler.py
+++ b/libs/relay/src/clementinebend_relay/handler.py
@@ -10,7 +10,6 @@
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.dispatch import Dispatcher
 from clementinebend_relay.interfaces import HttpProtocol
-from clementinebend_relay.mark_view import Shortfall
 from clementinebend_relay.metrics import (
     answered,
     first_byte_seconds,
@@ -20,6 +19,7 @@
 from clementinebend_relay.models import Reason, Rejection, RouteKind
 from clementinebend_relay.plain import PlainRelay
 from clementinebend_relay.progress import CallProgress
+from clementinebend_relay.quota_view import Shortfall
 from clementinebend_relay.streams import StreamRelay
 from clementinebend_relay.waiting_room import WaitingRoom
 from clementinebend_transport.http_types import Request, Response
--- a/libs/relay/src/clementinebend_relay/messages.py
+++ b/libs/relay/src/clementinebend_relay/messages.py
@@ -9,9 +9,9 @@
 from msgspec import DecodeError, Struct, ValidationError
 from msgspec.msgpack import Decoder, Encoder
 
-from clementinebend_ledger.mark_gifts import Wish
-from clementinebend_ledger.mark_transfers import Transfer
-from clementinebend_ledger.mark_witness import Attestation
+from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_transfers import Transfer
+from clementinebend_ledger.quota_witness import Attestation
 from clementinebend_routing.cold_start import PermitLimit
 from clementinebend_routing.endpoint_queue import QueueReport
 from clementinebend_routing.sessions import PromptPart
--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -5,9 +5,9 @@
 from random import sample
 from typing import NamedTuple
 
-from clementinebend_ledger.mark_gifts import Wish
-from clementinebend_ledger.mark_transfers import TransferBook
-from clementinebend_ledger.mark_witness import NO_EPOCH
+from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_transfers import TransferBook
+from clementinebend_ledger.quota_witness import NO_EPOCH
 from clementinebend_records.identifiers import Incarnation, name_of
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.budgets import Budgets
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -22,7 +22,6 @@
 from clementinebend_relay.handler import CallHandler
 from clementinebend_relay.interfaces import HttpProtocol, Logs, Records
 from clementinebend_relay.leaving_news import LeavingNews
-from clementinebend_relay.mark_keeper import MarkKeeper
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import Configuration
 from clementinebend_relay.peers import Peers
@@ -31,6 +30,7 @@
 from clementinebend_relay.quarantine_news import QuarantineNews
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
+from clementinebend_relay.quota_manager import MarkKeeper
 from clementinebend_relay.receiving import receive
 from clementinebend_relay.settings import RelaySettings
 from clementinebend_relay.streams import StreamRelay
--- a/libs/relay/src/clementinebend_relay/mark_keeper.py
+++ b/libs/relay/src/clementinebend_relay/quota_manager.py
@@ -9,7 +9,7 @@
 from itertools import count
 from random import random
 
-from clementinebend_ledger.mark_account import QuotaAccount
+from clementinebend_ledger.quota_account import QuotaAccount
 from clementinebend_platform_client.keyed_log import (
     Appended,
     Conflict,
@@ -21,8 +21,8 @@
 )
 from clementinebend_platform_client.newest_records import NewestRecords
 from clementinebend_relay.decisions import log_dependency
-from clementinebend_relay.mark_plan import REWRITE_SECONDS, QuotaPlan
-from clementinebend_relay.mark_view import Pending, QuotaView, Shortfall
+from clementinebend_relay.quota_plan import REWRITE_SECONDS, QuotaPlan
+from clementinebend_relay.quota_view import Pending, QuotaView, Shortfall
 
 COMMIT_SECONDS = 0.5
 """Pause between commits. A finished run must be settled within 1.5 s."""
--- a/libs/relay/src/clementinebend_relay/mark_plan.py
+++ b/libs/relay/src/clementinebend_relay/quota_plan.py
@@ -2,10 +2,10 @@
 
 from msgspec.msgpack import encode
 
-from clementinebend_ledger.mark_witness import is_unopened
+from clementinebend_ledger.quota_witness import is_unopened
 from clementinebend_ledger.quotas import HolderRecord, Quota, reclaimable
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.mark_view import NO_QUOTA, SEPARATOR, Pending, QuotaView
+from clementinebend_relay.quota_view import NO_QUOTA, SEPARATOR, Pending, QuotaView
 
 REWRITE_SECONDS = 1.0
 """Longest time between records of a holder that lives."""
--- a/libs/relay/src/clementinebend_relay/mark_view.py
+++ b/libs/relay/src/clementinebend_relay/quota_view.py
@@ -9,9 +9,9 @@
 from msgspec import DecodeError, ValidationError
 from msgspec.msgpack import decode
 
-from clementinebend_ledger.mark_account import QuotaAccount
-from clementinebend_ledger.mark_sizing import Allotment, allot
-from clementinebend_ledger.mark_witness import is_opened
+from clementinebend_ledger.quota_account import QuotaAccount
+from clementinebend_ledger.quota_sizing import Allotment, allot
+from clementinebend_ledger.quota_witness import is_opened
 from clementinebend_ledger.quotas import (
     HolderRecord,
     Quota,
--- a/libs/relay/src/clementinebend_relay/witness.py
+++ b/libs/relay/src/clementinebend_relay/witness.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from clementinebend_ledger.mark_witness import Attestation, WitnessState
+from clementinebend_ledger.quota_witness import Attestation, WitnessState
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.messages import (
     AttestationMessage,
--- a/libs/relay/src/clementinebend_relay/witnesses.py
+++ b/libs/relay/src/clementinebend_relay/witnesses.py
@@ -3,7 +3,7 @@
 from asyncio import sleep
 from collections.abc import Callable, Iterable
 
-from clementinebend_ledger.mark_witness import NO_EPOCH, WITNESSES, Attestation
+from clementinebend_ledger.quota_witness import NO_EPOCH, WITNESSES, Attestation
 from clementinebend_ledger.quotas import HolderRecord, Witness
 from clementinebend_membership.rendezvous import rendezvous
 from clementinebend_relay.announcing import Announcement, Directory
--- a/tests/unit/ledger/test_mark_transfers.py
+++ b/tests/unit/ledger/test_quota_transfers.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from clementinebend_ledger.mark_transfers import Transfer, TransferBook
+from clementinebend_ledger.quota_transfers import Transfer, TransferBook
 
 GIVER, TAKER = "entry-0#1", "entry-1#1"
 TEAMS = "abcd"
--- a/tests/unit/ledger/test_mark_witness.py
+++ b/tests/unit/ledger/test_quota_witness.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from clementinebend_ledger.mark_witness import (
+from clementinebend_ledger.quota_witness import (
     Attestation,
     WitnessState,
     is_opened,
--- a/tests/unit/ledger/test_quotas.py
+++ b/tests/unit/ledger/test_quotas.py
@@ -1,6 +1,6 @@
 """Tests of the rates with which a new home of a budget starts."""
 
-from clementinebend_ledger.mark_account import QuotaAccount
+from clementinebend_ledger.quota_account import QuotaAccount
 from clementinebend_ledger.quotas import (
     Quota,
     QuotaBook,
--- a/tests/unit/relay/mark_world.py
+++ b/tests/unit/relay/mark_world.py
@@ -6,8 +6,8 @@
 
 from msgspec.msgpack import decode
 
-from clementinebend_ledger.mark_gifts import Wish
-from clementinebend_ledger.mark_transfers import TransferBook
+from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_transfers import TransferBook
 from clementinebend_ledger.quotas import Quota
 from clementinebend_platform_client.keyed_log import (
     Appended,
--- a/tests/unit/relay/test_message_fuzz.py
+++ b/tests/unit/relay/test_message_fuzz.py
@@ -9,8 +9,8 @@
 from clementinebend_bench.models.mark_fleet import FleetEntry, MarkFleet
 from clementinebend_bench.models.mark_store import StoreModel
 from clementinebend_bench.models.virtual_loop import run_virtually
-from clementinebend_ledger.mark_gifts import Wish
-from clementinebend_ledger.mark_transfers import Transfer
+from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_transfers import Transfer
 from clementinebend_relay.messages import (
     AskMessage,
     EndedMessage,
--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from clementinebend_ledger.mark_gifts import Wish
-from clementinebend_ledger.mark_transfers import Transfer
+from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_transfers import Transfer
 from clementinebend_membership.suspicion import ANSWER_SECONDS, MOST_UNANSWERED
 from clementinebend_records.identifiers import new_incarnation
 from clementinebend_relay.announcing import Announcement, Directory
--- a/tests/unit/relay/test_mark_keeper.py
+++ b/tests/unit/relay/test_quota_manager.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from clementinebend_ledger.mark_gifts import Wish
+from clementinebend_ledger.quota_requests import Wish
 from clementinebend_relay.budgets import BUDGET_WAIT, MAX_BUDGET_WAIT
-from clementinebend_relay.mark_view import LIVE_SECONDS
+from clementinebend_relay.quota_view import LIVE_SECONDS
 from tests.unit.relay.mark_world import TEAM, MarkWorld
 
 PREPAID = 100_000
--- a/tests/unit/relay/test_request_pacing.py
+++ b/tests/unit/relay/test_request_pacing.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from clementinebend_ledger.mark_gifts import Wish
+from clementinebend_ledger.quota_requests import Wish
 from clementinebend_records.identifiers import new_incarnation
 from clementinebend_relay.announcing import Directory
 from clementinebend_relay.budgets import Budgets
-from clementinebend_relay.mark_keeper import GUEST_HURRY
-from clementinebend_relay.mark_view import Shortfall
 from clementinebend_relay.models import Team
+from clementinebend_relay.quota_manager import GUEST_HURRY
+from clementinebend_relay.quota_view import Shortfall
 from clementinebend_relay.request_pacing import (
     ALL_REQUEST_INTERVAL,
     HOME_REQUEST_INTERVAL,
