--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -106,7 +106,7 @@
         teams = {name: Team(name, amount, None) for name, amount in prepaid.items()}
         self.budgets.configure(Configuration(1, {}, {}, teams, {}, LIMITS))
         jobs = (
-            self.budgets.keepers[0].run(),
+            self.budgets.managers[0].run(),
             self.peers.watch(),
             self.witnesses.run(),
         )
--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -14,7 +14,7 @@
 from clementinebend_relay.budget_peers import BudgetPeers, NoPeers
 from clementinebend_relay.messages import RemainingBudget
 from clementinebend_relay.models import Configuration, Team
-from clementinebend_relay.quota_manager import MarkKeeper
+from clementinebend_relay.quota_manager import QuotaManager
 from clementinebend_relay.quota_view import FRESH_SECONDS, QuotaView, Shortfall
 from clementinebend_relay.request_pacing import HOME_REQUEST_INTERVAL, RequestPacing
 from clementinebend_relay.witnesses import Witnesses
@@ -111,37 +111,37 @@
         self.reported: dict[str, RemainingReport] = {}
         self.answer_time_report = AnswerTimeReport(0.0, clock())
         self.remaining_cache: dict[str, RemainingReport] = {}
-        self.keepers = tuple(
-            MarkKeeper(self._view(holder_name(boot, part), part, witnesses), log)
+        self.managers = tuple(
+            QuotaManager(self._view(holder_name(boot, part), part, witnesses), log)
             for part, log in enumerate(logs)
         )
 
     def attach(self, budget_peers: BudgetPeers) -> None:
         """Take the other entries, which hear when there is more to hand over."""
         self.budget_peers = budget_peers
-        for part, keeper in enumerate(self.keepers):
-            keeper.on_wake = partial(budget_peers.serve_unmet, part)
+        for part, manager in enumerate(self.managers):
+            manager.on_wake = partial(budget_peers.serve_unmet, part)
 
     def configure(self, configuration: Configuration) -> None:
         """Take the budgets of a configuration."""
         self.reported.clear()
         self.remaining_cache.clear()
-        for keeper in self.keepers:
-            keeper.configure(
+        for manager in self.managers:
+            manager.configure(
                 {
                     team.name: team.prepaid
                     for team in configuration.teams.values()
-                    if team.prepaid is not None and self.keeper(team.name) is keeper
+                    if team.prepaid is not None and self.manager(team.name) is manager
                 }
             )
 
-    def keeper(self, team: str) -> MarkKeeper:
+    def manager(self, team: str) -> QuotaManager:
         """Return who keeps the marks of a team; all entries find the same."""
-        return self.keepers[self.part(team)]
+        return self.managers[self.part(team)]
 
     def part(self, team: str) -> int:
         """Return the partition that holds the marks of a team."""
-        return crc32(team.encode()) % len(self.keepers)
+        return crc32(team.encode()) % len(self.managers)
 
     def _is_home(self, part: int) -> bool:
         return self.budget_peers.home_of(part) is None
@@ -158,14 +158,16 @@
 
     def wait_seconds(self) -> float:
         """Return how many seconds a call should wait for its budget."""
-        answering = (keeper for keeper in self.keepers if not keeper.is_out_of_reach())
-        slowest = max((keeper.answer_seconds for keeper in answering), default=0.0)
+        answering = (
+            manager for manager in self.managers if not manager.is_out_of_reach()
+        )
+        slowest = max((manager.answer_seconds for manager in answering), default=0.0)
         slowest = max(slowest, self._home_answer_seconds())
         return min(MAX_BUDGET_WAIT, max(BUDGET_WAIT, STORE_ANSWERS_AWAITED * slowest))
 
     def answer_seconds(self, team: str) -> float:
         """Return how long the store takes to answer calls for a team's marks."""
-        return self.keeper(team).answer_seconds
+        return self.manager(team).answer_seconds
 
     def on_home_answer_seconds(self, seconds: float) -> None:
         """Record a home's store answer time, unless a longer one is still valid."""
@@ -185,7 +187,7 @@
         in the store.
         """
         return self.is_store_lost() or any(
-            keeper.is_out_of_reach() for keeper in self.keepers
+            manager.is_out_of_reach() for manager in self.managers
         )
 
     async def reserve(
@@ -198,14 +200,14 @@
         """
         if team.prepaid is None or amount == 0:
             return Reservation(team.name, 0)
-        keeper = self.keeper(team.name)
-        account = keeper.account(team.name)
+        manager = self.manager(team.name)
+        account = manager.account(team.name)
         account.demand(amount, self.clock())
         if account.reserve(amount):
             self._borrow(team.name)
-            self._raise_before_empty(keeper, team.name)
+            self._raise_before_empty(manager, team.name)
             return Reservation(team.name, amount)
-        if (shortfall := self._final_shortfall(keeper, team.name, amount)) is not None:
+        if (shortfall := self._final_shortfall(manager, team.name, amount)) is not None:
             return shortfall
         account.waiting += amount
         is_set_aside = False
@@ -214,36 +216,36 @@
                 async with timeout(wait) as wait_timeout:
                     latest_deadline = get_running_loop().time() + longest_wait
                     is_set_aside = await self._wait_until_reserved(
-                        keeper, team.name, amount, wait_timeout, latest_deadline
+                        manager, team.name, amount, wait_timeout, latest_deadline
                     )
         finally:
             account.waiting -= amount
         if is_set_aside:
             return Reservation(team.name, amount)
-        self._return_surplus(keeper, team.name)
-        return self._shortfall(keeper, team.name, amount)
+        self._return_surplus(manager, team.name)
+        return self._shortfall(manager, team.name, amount)
 
     def _final_shortfall(
-        self, keeper: MarkKeeper, team: str, amount: int
+        self, manager: QuotaManager, team: str, amount: int
     ) -> Shortfall | None:
         """Return why no wait would help, none if one might."""
-        shortfall = self._shortfall(keeper, team, amount)
+        shortfall = self._shortfall(manager, team, amount)
         if shortfall.left is None or shortfall.left >= amount or shortfall.age is None:
             return None
         is_home = self.is_home_of(team)
         is_fresh = (
-            keeper.is_fresh() if is_home else shortfall.age < REMAINING_VALID_SECONDS
+            manager.is_fresh() if is_home else shortfall.age < REMAINING_VALID_SECONDS
         )
         return shortfall if is_fresh else None
 
-    def _shortfall(self, keeper: MarkKeeper, team: str, amount: int) -> Shortfall:
+    def _shortfall(self, manager: QuotaManager, team: str, amount: int) -> Shortfall:
         """Return why ``amount`` cannot be set aside, by what the home said last."""
         reported = self.reported.get(team)
         if reported is None or self.is_home_of(team):
-            return keeper.shortfall(team, amount)
+            return manager.shortfall(team, amount)
         age = self.clock() - reported.at
         left, uncertain = reported.remaining
-        left += max(0, keeper.account(team).free)
+        left += max(0, manager.account(team).free)
         is_spent = age < FRESH_SECONDS and left + uncertain < amount
         return Shortfall(is_spent, left, uncertain, age)
 
@@ -253,7 +255,7 @@
         if home is None:
             return
         now = self.clock()
-        account = self.keeper(team).account(team)
+        account = self.manager(team).account(team)
         usual = borrowed(account, now)
         is_low = account.free < usual // 2
         if is_low and self.request_pacing[team].may_ask_home(now):
@@ -261,7 +263,7 @@
 
     async def _wait_until_reserved(
         self,
-        keeper: MarkKeeper,
+        manager: QuotaManager,
         team: str,
         amount: int,
         wait_timeout: Timeout,
@@ -274,60 +276,60 @@
         ``latest_deadline`` at most, when ``wait_seconds`` grows during the wait.
         """
         started_at = get_running_loop().time()
-        self._request_first(keeper, team)
-        while not await self._reserve_briefly(keeper, team, amount):
-            if self._final_shortfall(keeper, team, amount) is not None:
+        self._request_first(manager, team)
+        while not await self._reserve_briefly(manager, team, amount):
+            if self._final_shortfall(manager, team, amount) is not None:
                 return False
             deadline = min(latest_deadline, started_at + self.wait_seconds())
             if deadline > (wait_timeout.when() or 0.0):
                 wait_timeout.reschedule(deadline)
-            self._request_again(keeper, team, amount)
+            self._request_again(manager, team, amount)
         return True
 
-    def _request_first(self, keeper: MarkKeeper, team: str) -> None:
+    def _request_first(self, manager: QuotaManager, team: str) -> None:
         home = self.budget_peers.home_of(self.part(team))
         if home is not None:
             self._ask_home(home, team)
-        elif keeper.is_stalled():
-            keeper.open_reserve()
+        elif manager.is_stalled():
+            manager.open_reserve()
         else:
-            keeper.hurry()
+            manager.hurry()
 
-    def _request_again(self, keeper: MarkKeeper, team: str, amount: int) -> None:
+    def _request_again(self, manager: QuotaManager, team: str, amount: int) -> None:
         """Ask the home again; if it is silent, the store and some others."""
         home = self.budget_peers.home_of(self.part(team))
         now = self.clock()
         request_pacing = self.request_pacing[team]
         is_alone = home is None or request_pacing.is_home_gone(now)
         if is_alone:
-            keeper.hurry()
-            if keeper.is_stalled() or home is not None:
-                keeper.open_reserve()
+            manager.hurry()
+            if manager.is_stalled() or home is not None:
+                manager.open_reserve()
         if home is not None:
             self._ask_home(home, team)
         if is_alone and request_pacing.may_ask_all(now):
-            asked = wish(keeper.account(team), amount, now)
+            asked = wish(manager.account(team), amount, now)
             self.budget_peers.ask_others(team, asked)
 
     def _ask_home(self, home: str, team: str) -> None:
         """Ask for what all calls that wait need."""
         now = self.clock()
-        account = self.keeper(team).account(team)
+        account = self.manager(team).account(team)
         if self.request_pacing[team].may_ask_home(now):
             needed = account.waiting + borrowed(account, now)
             self.budget_peers.ask(home, team, Wish(needed))
 
     async def _reserve_briefly(
-        self, keeper: MarkKeeper, team: str, amount: int
+        self, manager: QuotaManager, team: str, amount: int
     ) -> bool:
         """Wait a moment for ``amount``; return whether it is set aside."""
-        account = keeper.account(team)
+        account = manager.account(team)
         with suppress(TimeoutError):
             async with timeout(FALLBACK_SECONDS):
                 while not account.reserve(amount):
-                    if self._final_shortfall(keeper, team, amount) is not None:
+                    if self._final_shortfall(manager, team, amount) is not None:
                         return False
-                    await keeper.changed.wait()
+                    await manager.changed.wait()
                 return True
         return False
 
@@ -347,49 +349,49 @@
 
     def record_request(self, team: str, amount: int) -> None:
         """Raise this home's mark by what others lack."""
-        keeper = self.keeper(team)
-        keeper.account(team).ask(amount, self.clock())
-        keeper.hurry()
-        if keeper.is_stalled():
-            keeper.open_reserve()
+        manager = self.manager(team)
+        manager.account(team).ask(amount, self.clock())
+        manager.hurry()
+        if manager.is_stalled():
+            manager.open_reserve()
 
     def transferable(self, team: str, asked: Wish) -> int:
         """Return how much of what is asked could be handed over now.
 
         A home raises its mark for its own calls as for others, and keeps nothing back.
         """
-        account = self.keeper(team).account(team)
+        account = self.manager(team).account(team)
         if self.is_home_of(team):
             return max(0, min(asked.amount, account.free - account.waiting))
         return gift(account, asked, self.clock())
 
     def hand_over(self, team: str, amount: int) -> None:
         """Count ``amount`` as spent: another entry has it now."""
-        account = self.keeper(team).account(team)
+        account = self.manager(team).account(team)
         account.give(amount)
         if self.is_home_of(team):
             account.lent(amount, self.clock())
-        self._raise_before_empty(self.keeper(team), team)
+        self._raise_before_empty(self.manager(team), team)
 
-    def _raise_before_empty(self, keeper: MarkKeeper, team: str) -> None:
+    def _raise_before_empty(self, manager: QuotaManager, team: str) -> None:
         """Let a home raise its mark before it runs out, off the way of calls."""
         if not self.is_home_of(team):
             return
-        account = keeper.account(team)
+        account = manager.account(team)
         if account.free < LOW_FRACTION * at_once(account, 0.0, self.clock()):
-            keeper.hurry()
+            manager.hurry()
 
     def on_gift(self, team: str, amount: int, giver: str) -> None:
         """Take what the entry ``giver`` has handed over, which may be nothing."""
-        keeper = self.keeper(team)
+        manager = self.manager(team)
         if giver == self.budget_peers.home_of(self.part(team)):
             self.request_pacing[team].on_home_answer(self.clock(), bool(amount))
-        account = keeper.account(team)
+        account = manager.account(team)
         if amount:
             account.take(amount)
         if not account.waiting:
-            self._return_surplus(keeper, team)
-        keeper.wake()
+            self._return_surplus(manager, team)
+        manager.wake()
 
     def on_remaining(self, team: str, remaining: RemainingBudget) -> None:
         """Take what the home says is left of a budget."""
@@ -404,22 +406,22 @@
         now = self.clock()
         if known is not None and now - known.at < REMAINING_CACHE_SECONDS:
             return known.remaining
-        keeper = self.keeper(team)
-        if not keeper.is_fresh():
+        manager = self.manager(team)
+        if not manager.is_fresh():
             return None
-        shortfall = keeper.shortfall(team, 0)
+        shortfall = manager.shortfall(team, 0)
         if shortfall.left is None or shortfall.uncertain is None:
             return None
         remaining = RemainingBudget(shortfall.left, shortfall.uncertain)
         self.remaining_cache[team] = RemainingReport(now, remaining)
         return remaining
 
-    def _return_surplus(self, keeper: MarkKeeper, team: str) -> None:
+    def _return_surplus(self, manager: QuotaManager, team: str) -> None:
         """Give the home what is left of calls that have ended."""
         home = self.budget_peers.home_of(self.part(team))
         if home is None:
             return
-        account = keeper.account(team)
+        account = manager.account(team)
         kept = borrowed(account, self.clock())
         surplus = account.free - kept
         if account.free <= RETURN_FACTOR * kept or surplus <= 0:
@@ -435,22 +437,22 @@
         """Give back what a call did not use."""
         if reservation.amount == 0:
             return
-        keeper = self.keeper(reservation.team)
-        account = keeper.account(reservation.team)
+        manager = self.manager(reservation.team)
+        account = manager.account(reservation.team)
         account.settle(reservation.amount, spent)
         if account.waiting:
-            keeper.wake()
+            manager.wake()
         else:
-            self._return_surplus(keeper, reservation.team)
+            self._return_surplus(manager, reservation.team)
 
     def close(self) -> None:
         """Keep no more than calls in progress need: no other will come."""
-        for keeper in self.keepers:
-            keeper.close()
+        for manager in self.managers:
+            manager.close()
 
     async def release(self, within: float) -> None:
         """Give back what is not used, within some seconds: the process ends."""
         self.close()
         with suppress(TimeoutError):
             async with timeout(within):
-                await gather(*(keeper.commit() for keeper in self.keepers))
+                await gather(*(manager.commit() for manager in self.managers))
--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -68,7 +68,7 @@
         self.send = send
         self.send_all = send_all
         self.clock = clock
-        self.homes = Homes(name, len(budgets.keepers), directory, clock)
+        self.homes = Homes(name, len(budgets.managers), directory, clock)
         self.heard_at: dict[str, float] = {}
         self.transfers = TransferBook()
         self.unmet: dict[str, dict[str, Unmet]] = {}
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -30,7 +30,7 @@
 from clementinebend_relay.quarantine_news import QuarantineNews
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
-from clementinebend_relay.quota_manager import MarkKeeper
+from clementinebend_relay.quota_manager import QuotaManager
 from clementinebend_relay.receiving import receive
 from clementinebend_relay.settings import RelaySettings
 from clementinebend_relay.streams import StreamRelay
@@ -171,14 +171,14 @@
     def jobs(self) -> list[Coroutine[Any, Any, None]]:
         """Return what runs for ever."""
         followers = [follower.run() for follower in self.followers]
-        keepers = [self._keep(keeper) for keeper in self.budgets.keepers]
+        managers = [self._keep(manager) for manager in self.budgets.managers]
         settings = self.settings
         own = Announcement(
             self.boot, settings.zone, *settings.peers, cores=settings.cores
         )
         return [
             *followers,
-            *keepers,
+            *managers,
             announce(self.logs.entries, self.settings.name, own),
             self.peers.watch(),
             self.witnesses.run(),
@@ -186,14 +186,14 @@
             self.paths.run(self.probe),
         ]
 
-    async def _keep(self, keeper: MarkKeeper) -> None:
+    async def _keep(self, manager: QuotaManager) -> None:
         """Keep marks once the other entries are known.
 
         Before that each entry would take itself for the home of all budgets, and
         all together take far more of them than a home may keep.
         """
         await self.entries.known.wait()
-        await keeper.run()
+        await manager.run()
 
     async def listen(self, metrics_port: int) -> None:
         """Listen to callers, to the balancer and for questions about metrics."""
--- a/libs/relay/src/clementinebend_relay/quota_manager.py
+++ b/libs/relay/src/clementinebend_relay/quota_manager.py
@@ -59,7 +59,7 @@
 faster again; slower ones count at once."""
 
 
-class MarkKeeper:
+class QuotaManager:
     """The marks of some teams: one partition of the log, owned by one task."""
 
     def __init__(self, view: QuotaView, log: KeyedLog) -> None:
--- a/tests/unit/relay/mark_world.py
+++ b/tests/unit/relay/mark_world.py
@@ -153,12 +153,12 @@
         )
 
     @property
-    def keeper(self):  # type: ignore[no-untyped-def]
-        return self.budgets.keepers[0]
+    def manager(self):  # type: ignore[no-untyped-def]
+        return self.budgets.managers[0]
 
     @property
     def account(self):  # type: ignore[no-untyped-def]
-        return self.keeper.account(TEAM)
+        return self.manager.account(TEAM)
 
     def home_of(self, part: int) -> str | None:
         return None if self.is_home else "entry-0"
@@ -251,8 +251,8 @@
         }
 
     def commit(self, number: int) -> bool:
-        keeper = self.entries[number].keeper
-        return bool(self.loop.run_until_complete(keeper.commit()))
+        manager = self.entries[number].manager
+        return bool(self.loop.run_until_complete(manager.commit()))
 
     def ping(self) -> None:
         """Let all entries see one another as witnesses."""
--- a/tests/unit/relay/test_message_fuzz.py
+++ b/tests/unit/relay/test_message_fuzz.py
@@ -150,6 +150,6 @@
     sent: list[Message],
 ) -> None:
     entry = run_virtually(take_all(sent))
-    account = entry.budgets.keepers[0].account(TEAM)
+    account = entry.budgets.managers[0].account(TEAM)
     assert account.limit <= PREPAID
     assert account.waiting == 0
--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -130,7 +130,7 @@
 
 def test_a_part_is_taken_once_however_often_it_comes() -> None:
     peers, _ = made_peers(Clock(), entries=2)
-    account = peers.budgets.keepers[0].account(TEAM)
+    account = peers.budgets.managers[0].account(TEAM)
     account.waiting = 100
     gift = GiftMessage("entry-1#1", peers.boot, TEAM, Transfer(1, 60), is_home=True)
     for _ in range(3):
@@ -159,8 +159,8 @@
     """One that asks again counts once, and what was asked too long ago not at all."""
     clock = Clock()
     peers, sent = made_peers(clock, 0, 1)
-    peers.budgets.keepers[0].view.prepaid = {TEAM: 1_000}
-    account = peers.budgets.keepers[0].account(TEAM)
+    peers.budgets.managers[0].view.prepaid = {TEAM: 1_000}
+    account = peers.budgets.managers[0].account(TEAM)
     for boot, asked in (("a#1", 30), ("a#1", 40), ("b#1", 70)):
         peers.on_ask(AskMessage(boot, TEAM, Wish(asked)), Address("h", 1))
     assert account.asked_now(clock()) == 110
--- a/tests/unit/relay/test_quota_manager.py
+++ b/tests/unit/relay/test_quota_manager.py
@@ -37,7 +37,7 @@
 
 
 def open_reserve(world: MarkWorld, number: int) -> None:
-    world.entries[number].keeper.open_reserve()
+    world.entries[number].manager.open_reserve()
     world.deliver()
 
 
@@ -45,7 +45,7 @@
     raise_demand(world, 0)
     entry = world.entries[0]
     before = entry.account.limit
-    entry.keeper.open_reserve()
+    entry.manager.open_reserve()
     world.deliver(lambda sent: sent.to != world.entries[1].address)
     assert entry.account.limit == before
     open_reserve(world, 0)
@@ -57,9 +57,9 @@
     open_reserve(world, 0)
     entry = world.entries[0]
     entry.log.mode = "late"
-    entry.keeper.plan.is_closing = True
+    entry.manager.plan.is_closing = True
     world.commit(0)
-    entry.keeper.plan.is_closing = False
+    entry.manager.plan.is_closing = False
     spend_all(world, 0)
     world.land_late()
     assert not world.over_quotas()
@@ -69,9 +69,9 @@
     raise_demand(world, 0)
     entry = world.entries[0]
     entry.log.mode = "late"
-    entry.keeper.plan.is_closing = True
+    entry.manager.plan.is_closing = True
     world.commit(0)
-    entry.keeper.plan.is_closing = False
+    entry.manager.plan.is_closing = False
     raise_demand(world, 0)
     first, second = world.late
     assert first == second
@@ -142,15 +142,15 @@
 ) -> None:
     raise_demand(world, 0)
     raise_demand(world, 1)
-    view = world.entries[0].keeper.view
-    other = world.entries[1].keeper.view.holder
+    view = world.entries[0].manager.view
+    other = world.entries[1].manager.view.holder
     world.commit(0)
     world.clock.now += LIVE_SECONDS + 1
     assert other not in view.live()
-    lost = world.entries[0].keeper.shortfall(TEAM, 1).left
+    lost = world.entries[0].manager.shortfall(TEAM, 1).left
     view.is_heard = lambda holder: holder == other
     assert other in view.live()
-    assert world.entries[0].keeper.shortfall(TEAM, 1).left > lost
+    assert world.entries[0].manager.shortfall(TEAM, 1).left > lost
 
 
 def test_an_entry_that_is_not_the_home_writes_what_it_spends_of_its_own_mark(
@@ -166,16 +166,16 @@
 
 
 def test_a_budget_that_is_spent_is_told_so(world: MarkWorld) -> None:
-    shortfall = world.entries[0].keeper.shortfall(TEAM, PREPAID + 1)
+    shortfall = world.entries[0].manager.shortfall(TEAM, PREPAID + 1)
     assert shortfall.is_spent
-    assert not world.entries[0].keeper.shortfall(TEAM, PREPAID // 2).is_spent
+    assert not world.entries[0].manager.shortfall(TEAM, PREPAID // 2).is_spent
 
 
 def test_a_home_opens_its_reserve_while_the_log_keeps_silent(world: MarkWorld) -> None:
     raise_demand(world, 0)
     entry = world.entries[0]
     spend_all(world, 0)
-    entry.keeper.called_at = world.clock.now
+    entry.manager.called_at = world.clock.now
     world.clock.now += 0.2
     entry.budgets.on_ask(TEAM, Wish(50))
     world.deliver()
@@ -196,7 +196,7 @@
     assert entry.account.free > 0
     assert entry.call(entry.account.free)
     entry.finish(1.0)
-    assert entry.keeper.plan.next_append(world.clock()) is not None
+    assert entry.manager.plan.next_append(world.clock()) is not None
     world.commit(1)
     assert world.quotas()[entry.boot].spent == entry.account.spent
 
--- a/tests/unit/relay/test_quotas_stateful.py
+++ b/tests/unit/relay/test_quotas_stateful.py
@@ -58,7 +58,7 @@
 
     @rule(number=numbers, lost=st.booleans())
     def open_reserve(self, number: int, lost: bool) -> None:
-        self.world.entries[number].keeper.open_reserve()
+        self.world.entries[number].manager.open_reserve()
         self.world.deliver(lambda sent: not lost or sent.to.host != "10.0.0.0")
 
     @rule()
@@ -105,10 +105,10 @@
 
     @rule(number=numbers)
     def release(self, number: int) -> None:
-        keeper = self.world.entries[number].keeper
-        keeper.plan.is_closing = True
+        manager = self.world.entries[number].manager
+        manager.plan.is_closing = True
         self.world.commit(number)
-        keeper.plan.is_closing = False
+        manager.plan.is_closing = False
 
     @invariant()
     def nothing_is_overspent(self) -> None:
--- a/tests/unit/relay/test_request_pacing.py
+++ b/tests/unit/relay/test_request_pacing.py
@@ -105,11 +105,11 @@
     log = CountingLog()
     budgets = made_budgets(log)
     budgets.attach(Others(budgets, answers=False))
-    keeper = budgets.keepers[0]
-    running = create_task(keeper.run())
+    manager = budgets.managers[0]
+    running = create_task(manager.run())
     started = get_running_loop().time()
     while get_running_loop().time() < started + 3 * GUEST_HURRY:
-        keeper.hurry()
+        manager.hurry()
         await sleep(GUEST_HURRY / 20)
     running.cancel()
     assert 2 <= log.reads <= 4
@@ -126,7 +126,7 @@
     assert all(isinstance(outcome, Shortfall) for outcome in outcomes)
     assert 2 <= others.asked_home <= WAIT / HOME_REQUEST_INTERVAL + 2
     assert others.asked_all <= WAIT / ALL_REQUEST_INTERVAL + 1
-    assert budgets.keepers[0].urgent.is_set() != answers
+    assert budgets.managers[0].urgent.is_set() != answers
 
 
 async def test_an_entry_that_is_no_home_knows_of_an_outage_by_its_other_reads() -> None:
