--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -120,7 +120,7 @@
         """Take the other entries, which hear when there is more to hand over."""
         self.budget_peers = budget_peers
         for part, manager in enumerate(self.managers):
-            manager.on_wake = partial(budget_peers.serve_unmet, part)
+            manager.on_change = partial(budget_peers.serve_unmet, part)
 
     def configure(self, configuration: Configuration) -> None:
         """Take the budgets of a configuration."""
@@ -159,7 +159,7 @@
     def wait_seconds(self) -> float:
         """Return how many seconds a call should wait for its budget."""
         answering = (
-            manager for manager in self.managers if not manager.is_out_of_reach()
+            manager for manager in self.managers if not manager.is_unavailable()
         )
         slowest = max((manager.answer_seconds for manager in answering), default=0.0)
         slowest = max(slowest, self._home_answer_seconds())
@@ -187,7 +187,7 @@
         in the store.
         """
         return self.is_store_lost() or any(
-            manager.is_out_of_reach() for manager in self.managers
+            manager.is_unavailable() for manager in self.managers
         )
 
     async def reserve(
@@ -293,7 +293,7 @@
         elif manager.is_stalled():
             manager.open_reserve()
         else:
-            manager.hurry()
+            manager.request_commit()
 
     def _request_again(self, manager: QuotaManager, team: str, amount: int) -> None:
         """Ask the home again; if it is silent, the store and some others."""
@@ -302,7 +302,7 @@
         request_pacing = self.request_pacing[team]
         is_alone = home is None or request_pacing.is_home_gone(now)
         if is_alone:
-            manager.hurry()
+            manager.request_commit()
             if manager.is_stalled() or home is not None:
                 manager.open_reserve()
         if home is not None:
@@ -351,7 +351,7 @@
         """Raise this home's mark by what others lack."""
         manager = self.manager(team)
         manager.account(team).ask(amount, self.clock())
-        manager.hurry()
+        manager.request_commit()
         if manager.is_stalled():
             manager.open_reserve()
 
@@ -379,7 +379,7 @@
             return
         account = manager.account(team)
         if account.free < LOW_FRACTION * at_once(account, 0.0, self.clock()):
-            manager.hurry()
+            manager.request_commit()
 
     def on_gift(self, team: str, amount: int, giver: str) -> None:
         """Take what the entry ``giver`` has handed over, which may be nothing."""
@@ -391,7 +391,7 @@
             account.take(amount)
         if not account.waiting:
             self._return_surplus(manager, team)
-        manager.wake()
+        manager.notify_waiters()
 
     def on_remaining(self, team: str, remaining: RemainingBudget) -> None:
         """Take what the home says is left of a budget."""
@@ -441,7 +441,7 @@
         account = manager.account(reservation.team)
         account.settle(reservation.amount, spent)
         if account.waiting:
-            manager.wake()
+            manager.notify_waiters()
         else:
             self._return_surplus(manager, reservation.team)
 
--- a/libs/relay/src/clementinebend_relay/quota_manager.py
+++ b/libs/relay/src/clementinebend_relay/quota_manager.py
@@ -69,15 +69,15 @@
         self.newest = NewestRecords(log, view.clock)
         self.plan = QuotaPlan(view)
         self.offset: int | None = None
-        self.lost_at: float | None = None
-        self.called_at: float | None = None
+        self.unavailable_since: float | None = None
+        self.call_started_at: float | None = None
         self.written_at: float | None = None
         self.answer_seconds = 0.0
-        self.committing = Lock()
-        self.urgent = Event()
+        self.commit_lock = Lock()
+        self.commit_requested = Event()
         self.changed = Event()
-        self.is_asked_for = False
-        self.on_wake: Callable[[], None] | None = None
+        self.is_commit_due = False
+        self.on_change: Callable[[], None] | None = None
         view.witnesses.on_attestation.append(self._on_attestation)
 
     def account(self, team: str) -> QuotaAccount:
@@ -87,27 +87,27 @@
     def configure(self, prepaid: dict[str, int]) -> None:
         """Take the budgets, in tokens, of the teams in this partition."""
         self.view.prepaid = prepaid
-        self.hurry()
+        self.request_commit()
 
-    def hurry(self) -> None:
+    def request_commit(self) -> None:
         """Commit soon: a call waits for it."""
-        self.urgent.set()
+        self.commit_requested.set()
 
     def close(self) -> None:
         """Let this and all later commits give back what is not used."""
         self.plan.is_closing = True
-        self.hurry()
+        self.request_commit()
 
     def is_fresh(self) -> bool:
         """Tell whether what was read last is good enough for a final refusal."""
         return self.view.is_fresh()
 
-    def wake(self) -> None:
+    def notify_waiters(self) -> None:
         """Let calls that wait for their budget look again."""
         self.changed.set()
         self.changed.clear()
-        if self.on_wake is not None:
-            self.on_wake()
+        if self.on_change is not None:
+            self.on_change()
 
     def shortfall(self, team: str, amount: int) -> Shortfall:
         """Return why ``amount`` cannot be set aside."""
@@ -125,29 +125,31 @@
         it lacks it borrows from the home.
         """
         while True:
-            if not self._is_idle_guest():
+            if not self._is_idle_borrower():
                 await self.commit()
             await self._pause()
 
-    def is_out_of_reach(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Tell whether the last call to the log failed."""
-        return self.lost_at is not None
+        return self.unavailable_since is not None
 
     def is_stalled(self) -> bool:
         """Tell whether the log is out of reach, or takes long to answer."""
-        if self.is_out_of_reach():
+        if self.is_unavailable():
             return True
-        waited = 0.0 if self.called_at is None else self.clock() - self.called_at
+        waited = (
+            0.0 if self.call_started_at is None else self.clock() - self.call_started_at
+        )
         return waited > STALLED_SECONDS
 
     async def commit(self) -> bool:
         """Read the log, append what should change; return whether that worked."""
-        async with self.committing:
-            self.called_at = self.clock()
+        async with self.commit_lock:
+            self.call_started_at = self.clock()
             try:
                 return await self._commit()
             finally:
-                self.called_at = None
+                self.call_started_at = None
 
     async def _commit(self) -> bool:
         for attempt in count(1):
@@ -176,55 +178,59 @@
         view.refresh_limits()
         sent_at = self.clock()
         outcome = await self.log.append(pending.records, pending.at)
-        taken = self._time_of(outcome, sent_at)
-        view.append_seconds = _expected(view.append_seconds, taken)
+        taken = self._record_answer_time(outcome, sent_at)
+        view.append_seconds = _expected_seconds(view.append_seconds, taken)
         match outcome:
             case Appended():
                 self.written_at = self.clock()
                 numbered = enumerate(pending.records, pending.at)
                 own = tuple(KeyedRecord(at, *record) for at, record in numbered)
-                self._take(Page(own, outcome.end_offset, True))
+                self._apply_page(Page(own, outcome.end_offset, True))
             case StoreFailure():
-                self._lose(outcome)
+                self._on_log_failure(outcome)
         return outcome
 
     async def _pause(self) -> None:
-        self.urgent.clear()
-        self.is_asked_for = False
-        if self.lost_at is not None:
-            if await self._is_hurried(FAILURE_PAUSE):
+        self.commit_requested.clear()
+        self.is_commit_due = False
+        if self.unavailable_since is not None:
+            if await self._wait_for_commit_request(FAILURE_PAUSE):
                 await sleep(FAILURE_PAUSE)
         elif self.plan.is_closing:
-            await self._is_hurried(COMMIT_SECONDS)
+            await self._wait_for_commit_request(COMMIT_SECONDS)
         elif self.view.is_home():
             await sleep(HOME_HURRY)
-            await self._is_hurried(COMMIT_SECONDS)
+            await self._wait_for_commit_request(COMMIT_SECONDS)
         else:
             await sleep(GUEST_HURRY)
-            await self._guest_pause()
+            await self._pause_as_borrower()
 
-    async def _guest_pause(self) -> None:
+    async def _pause_as_borrower(self) -> None:
         """Pause until this entry becomes the home, or has marks to give back."""
         until = self.clock() + GUEST_SECONDS
         while not self.view.is_home():
-            if await self._is_hurried(COMMIT_SECONDS):
-                self.is_asked_for = True
+            if await self._wait_for_commit_request(COMMIT_SECONDS):
+                self.is_commit_due = True
                 return
             if self.view.has_open_quotas() and self.clock() >= until:
                 return
 
-    def _is_idle_guest(self) -> bool:
-        if self.view.is_home() or self.plan.is_closing or self.lost_at is not None:
+    def _is_idle_borrower(self) -> bool:
+        if (
+            self.view.is_home()
+            or self.plan.is_closing
+            or self.unavailable_since is not None
+        ):
             return False
-        if self.is_asked_for or self.view.has_open_quotas():
+        if self.is_commit_due or self.view.has_open_quotas():
             return False
-        return not self.urgent.is_set()
+        return not self.commit_requested.is_set()
 
-    async def _is_hurried(self, pause: float) -> bool:
+    async def _wait_for_commit_request(self, pause: float) -> bool:
         """Pause; return at once and with true if a call waits for a commit."""
         try:
             async with timeout(pause):
-                await self.urgent.wait()
+                await self.commit_requested.wait()
         except TimeoutError:
             return False
         return True
@@ -238,46 +244,46 @@
                 outcome: Page | RecordsDropped | StoreFailure = await self.newest.read()
             else:
                 outcome = await self.log.read(self.offset, 0.0)
-            self._time_of(outcome, sent_at)
+            self._record_answer_time(outcome, sent_at)
             match outcome:
                 case Page():
-                    self._take(outcome)
+                    self._apply_page(outcome)
                     if outcome.is_end:
                         return True
                 case RecordsDropped():
                     self.offset = None
                 case StoreFailure():
-                    self._lose(outcome)
+                    self._on_log_failure(outcome)
                     return False
 
-    def _take(self, page: Page) -> None:
-        if self.lost_at is not None:
-            lost_for = round(self.clock() - self.lost_at, 3)
+    def _apply_page(self, page: Page) -> None:
+        if self.unavailable_since is not None:
+            lost_for = round(self.clock() - self.unavailable_since, 3)
             log_dependency("marks", is_lost=False, lost_for_s=lost_for)
-            self.lost_at = None
+            self.unavailable_since = None
         self.offset = page.next_offset
         self.view.take(page)
-        self.wake()
+        self.notify_waiters()
 
-    def _time_of(self, outcome: object, sent_at: float) -> float:
+    def _record_answer_time(self, outcome: object, sent_at: float) -> float:
         """Return how long a call took; note it if the log answered."""
         taken = self.clock() - sent_at
         if not isinstance(outcome, StoreFailure):
-            self.answer_seconds = _expected(self.answer_seconds, taken)
+            self.answer_seconds = _expected_seconds(self.answer_seconds, taken)
         return taken
 
     def _on_attestation(self, holder: str) -> None:
         if holder != self.view.holder:
             return
         self.view.refresh_limits()
-        self.wake()
+        self.notify_waiters()
 
-    def _lose(self, failure: StoreFailure) -> None:
-        if self.lost_at is None:
-            self.lost_at = self.clock()
+    def _on_log_failure(self, failure: StoreFailure) -> None:
+        if self.unavailable_since is None:
+            self.unavailable_since = self.clock()
             log_dependency("marks", is_lost=True, problem=failure.message)
 
 
-def _expected(known: float, taken: float) -> float:
+def _expected_seconds(known: float, taken: float) -> float:
     """Return the seconds that the next call is expected to take."""
     return max(taken, known + (taken - known) * APPEND_WEIGHT)
--- a/tests/unit/relay/test_quota_manager.py
+++ b/tests/unit/relay/test_quota_manager.py
@@ -175,7 +175,7 @@
     raise_demand(world, 0)
     entry = world.entries[0]
     spend_all(world, 0)
-    entry.manager.called_at = world.clock.now
+    entry.manager.call_started_at = world.clock.now
     world.clock.now += 0.2
     entry.budgets.on_ask(TEAM, Wish(50))
     world.deliver()
--- a/tests/unit/relay/test_request_pacing.py
+++ b/tests/unit/relay/test_request_pacing.py
@@ -109,7 +109,7 @@
     running = create_task(manager.run())
     started = get_running_loop().time()
     while get_running_loop().time() < started + 3 * GUEST_HURRY:
-        manager.hurry()
+        manager.request_commit()
         await sleep(GUEST_HURRY / 20)
     running.cancel()
     assert 2 <= log.reads <= 4
@@ -126,7 +126,7 @@
     assert all(isinstance(outcome, Shortfall) for outcome in outcomes)
     assert 2 <= others.asked_home <= WAIT / HOME_REQUEST_INTERVAL + 2
     assert others.asked_all <= WAIT / ALL_REQUEST_INTERVAL + 1
-    assert budgets.managers[0].urgent.is_set() != answers
+    assert budgets.managers[0].commit_requested.is_set() != answers
 
 
 async def test_an_entry_that_is_no_home_knows_of_an_outage_by_its_other_reads() -> None:
