--- a/libs/relay/src/clementinebend_relay/quota_manager.py
+++ b/libs/relay/src/clementinebend_relay/quota_manager.py
@@ -31,20 +31,20 @@
 """How long a commit may take before the reserve is opened for calls that wait:
 five times the usual. A log that is silent counts as lost only later."""
 
-HOME_HURRY = 0.01
+HOME_COMMIT_INTERVAL = 0.01
 """Least seconds between commits of a home: what is asked meanwhile is written together.
 It adds some 5 ms to a call that lacks its budget, and bounds a home's appends to 70 a
 second."""
 
-GUEST_SECONDS = 2.0
+RETURN_INTERVAL = 2.0
 """Seconds between commits of an entry that is not the home of a partition and still
 has marks of its own there, until it has given them back."""
 
-GUEST_HURRY = 0.1
+BORROWER_COMMIT_INTERVAL = 0.1
 """Least seconds between commits of such an entry, also while calls wait: 26 of
 30 entries are not the home, and the store takes 6,000 readings a second."""
 
-LONG_AGO_SECONDS = 10.0
+STALE_READ_SECONDS = 10.0
 """Seconds without a reading after which the newest records are read instead of all
 that were written since: those of homes that write twice a second."""
 
@@ -54,7 +54,7 @@
 FAILURE_PAUSE = 0.2
 """Seconds after a call that the store did not answer."""
 
-APPEND_WEIGHT = 0.3
+SMOOTHING_WEIGHT = 0.3
 """Weight of one call in the time that calls are expected to take, once they are
 faster again; slower ones count at once."""
 
@@ -199,15 +199,15 @@
         elif self.plan.is_closing:
             await self._wait_for_commit_request(COMMIT_SECONDS)
         elif self.view.is_home():
-            await sleep(HOME_HURRY)
+            await sleep(HOME_COMMIT_INTERVAL)
             await self._wait_for_commit_request(COMMIT_SECONDS)
         else:
-            await sleep(GUEST_HURRY)
+            await sleep(BORROWER_COMMIT_INTERVAL)
             await self._pause_as_borrower()
 
     async def _pause_as_borrower(self) -> None:
         """Pause until this entry becomes the home, or has marks to give back."""
-        until = self.clock() + GUEST_SECONDS
+        until = self.clock() + RETURN_INTERVAL
         while not self.view.is_home():
             if await self._wait_for_commit_request(COMMIT_SECONDS):
                 self.is_commit_due = True
@@ -240,7 +240,7 @@
         while True:
             sent_at = self.clock()
             age = self.view.age()
-            if self.offset is None or age is None or age > LONG_AGO_SECONDS:
+            if self.offset is None or age is None or age > STALE_READ_SECONDS:
                 outcome: Page | RecordsDropped | StoreFailure = await self.newest.read()
             else:
                 outcome = await self.log.read(self.offset, 0.0)
@@ -286,4 +286,4 @@
 
 def _expected_seconds(known: float, taken: float) -> float:
     """Return the seconds that the next call is expected to take."""
-    return max(taken, known + (taken - known) * APPEND_WEIGHT)
+    return max(taken, known + (taken - known) * SMOOTHING_WEIGHT)
--- a/tests/unit/relay/test_request_pacing.py
+++ b/tests/unit/relay/test_request_pacing.py
@@ -9,7 +9,7 @@
 from clementinebend_relay.announcing import Directory
 from clementinebend_relay.budgets import Budgets
 from clementinebend_relay.models import Team
-from clementinebend_relay.quota_manager import GUEST_HURRY
+from clementinebend_relay.quota_manager import BORROWER_COMMIT_INTERVAL
 from clementinebend_relay.quota_view import Shortfall
 from clementinebend_relay.request_pacing import (
     ALL_REQUEST_INTERVAL,
@@ -108,9 +108,9 @@
     manager = budgets.managers[0]
     running = create_task(manager.run())
     started = get_running_loop().time()
-    while get_running_loop().time() < started + 3 * GUEST_HURRY:
+    while get_running_loop().time() < started + 3 * BORROWER_COMMIT_INTERVAL:
         manager.request_commit()
-        await sleep(GUEST_HURRY / 20)
+        await sleep(BORROWER_COMMIT_INTERVAL / 20)
     running.cancel()
     assert 2 <= log.reads <= 4
 
