--- a/libs/relay/src/clementinebend_relay/quota_plan.py
+++ b/libs/relay/src/clementinebend_relay/quota_plan.py
@@ -63,12 +63,12 @@
         return {
             team: quota
             for team in self.view.prepaid
-            if self._is_due(
-                team, quota := self._wanted(team, live), known(team), is_home
+            if self._is_change_due(
+                team, quota := self._target_quota(team, live), known(team), is_home
             )
         }
 
-    def _wanted(self, team: str, live: frozenset[str]) -> Quota:
+    def _target_quota(self, team: str, live: frozenset[str]) -> Quota:
         account = self.view.account(team)
         allotment = self.view.allot(team, live)
         ceiling, unwitnessed = allotment.ceiling, allotment.unwitnessed
@@ -77,7 +77,9 @@
         rate = int(account.rate(self.view.clock()))
         return Quota(ceiling, unwitnessed, account.spent, rate)
 
-    def _is_due(self, team: str, quota: Quota, known: Quota, is_home: bool) -> bool:
+    def _is_change_due(
+        self, team: str, quota: Quota, known: Quota, is_home: bool
+    ) -> bool:
         """Tell whether a change is worth a record; the last one is exact.
 
         However little calls lack that wait for it, they get it.
@@ -88,20 +90,20 @@
         lacking = account.waiting + account.asked_now(self.view.clock())
         if lacking > account.free and quota.unwitnessed > known.unwitnessed:
             return True
-        return _is_worth_it(quota, known, is_home)
+        return _is_significant(quota, known, is_home)
 
     def _reclaimed(self, live: frozenset[str]) -> tuple[tuple[str, bytes], ...]:
         """Return the marks of dead holders, without reserves proved unspent."""
         view = self.view
         records: list[tuple[str, bytes]] = []
-        for holder, head in view.book.holders.items():
+        for holder, holder_record in view.book.holders.items():
             if holder == view.holder or holder in live:
                 continue
             quotas = reclaimable(view.book, holder)
             if not quotas:
                 continue
-            if not is_unopened(head, view.witnesses.of(holder)):
-                view.witnesses.fence(holder, head)
+            if not is_unopened(holder_record, view.witnesses.of(holder)):
+                view.witnesses.fence(holder, holder_record)
                 continue
             log_decision("reserve reclaimed", holder=holder, teams=len(quotas))
             records.extend(
@@ -111,7 +113,7 @@
         return tuple(records)
 
 
-def _is_worth_it(quota: Quota, known: Quota, is_home: bool) -> bool:
+def _is_significant(quota: Quota, known: Quota, is_home: bool) -> bool:
     """Tell whether a change is large enough: more, much less, or settled.
 
     An entry that is not the home spends what the home has handed over and counts
--- a/libs/relay/src/clementinebend_relay/quota_view.py
+++ b/libs/relay/src/clementinebend_relay/quota_view.py
@@ -94,7 +94,7 @@
         self.pending: Pending | None = None
         self.append_seconds = 0.0
         self.read_at: float | None = None
-        self.heard: dict[str, float] = {}
+        self.last_record_at: dict[str, float] = {}
         self.taken_over: set[str] = set()
 
     def account(self, team: str) -> QuotaAccount:
@@ -168,7 +168,7 @@
         now = self.clock()
         return frozenset(
             name
-            for name, at in self.heard.items()
+            for name, at in self.last_record_at.items()
             if (now - at < LIVE_SECONDS or self.is_heard(name))
             and not self.is_succeeded(name)
         )
@@ -209,9 +209,11 @@
                 quota = decode(record.value, type=Quota) if record.value else None
                 put_quota(self.book, QuotaKey(team, holder), quota, record.offset)
             else:
-                head = decode(record.value, type=HolderRecord) if record.value else None
-                put_holder(self.book, holder, head, record.offset)
-                self.heard[holder] = self.clock()
+                holder_record = (
+                    decode(record.value, type=HolderRecord) if record.value else None
+                )
+                put_holder(self.book, holder, holder_record, record.offset)
+                self.last_record_at[holder] = self.clock()
         except (DecodeError, ValidationError) as error:
             log_decision("mark refused", key=record.key, problem=str(error))
 
