--- a/libs/relay/src/clementinebend_relay/homes.py
+++ b/libs/relay/src/clementinebend_relay/homes.py
@@ -14,26 +14,26 @@
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.decisions import log_decision
 
-CANDIDATES = 6
+HOME_CANDIDATES = 6
 """How many entries of a partition's order may become its home: more than are lost at
 once, apart from a loss of all, after which the first are back as soon as others."""
 
-WATCHERS = 3
+HOME_WATCHERS = 3
 """How many of them watch those before them, so that the loss of two at once is still
 noticed without a call."""
 
-WATCH_PAUSE = 0.2
+LIVENESS_CHECK_INTERVAL = 0.2
 """Seconds between questions whether a process lives: three without an answer, and so
 a home that is gone, are noticed within a second."""
 
-ASKED_SECONDS = 2.0
+WATCH_SECONDS = 2.0
 """How long a candidate that was asked as if it were home watches those before it:
 somebody takes them for gone."""
 
-LEAST_CORES = 0.01
+MIN_CORES = 0.01
 """Least processor that an entry counts with, however little it announces."""
 
-HOME_SECONDS = 0.05
+HOME_CACHE_SECONDS = 0.05
 """How long a home is remembered: a call costs then no search."""
 
 
@@ -72,7 +72,7 @@
         """Return which other entry is home of a partition; none if it is us."""
         now = self.clock()
         known = self.homes.get(part)
-        if known is None or now - known.at > HOME_SECONDS:
+        if known is None or now - known.at > HOME_CACHE_SECONDS:
             known = self.homes[part] = Home(now, self._home_of(part, now))
             self._log_change(part, known.entry or self.name)
         return known.entry
@@ -102,7 +102,7 @@
         self.is_leaving = True
         self.homes.clear()
 
-    def on_asked_as_home(self, part: int) -> list[Announcement]:
+    def on_request_as_home(self, part: int) -> list[Announcement]:
         """Take that another entry takes this one for the home of a partition.
 
         Return whom to ask at once whether they live: those before this one, so that
@@ -111,13 +111,13 @@
         if self.home_of(part) is None:
             return []
         now = self.clock()
-        self.watches_until[part] = now + ASKED_SECONDS
+        self.watches_until[part] = now + WATCH_SECONDS
         if now - self.asked_at.get(part, 0.0) < ANSWER_SECONDS:
             return []
         self.asked_at[part] = now
         return self._announced(self._watched(part))
 
-    def on_no_home(self, part: int) -> None:
+    def on_home_denied(self, part: int) -> None:
         """Take note that the supposed home says it is none: one before it lives."""
         for name in self._order(part):
             item = self.directory.announcements.get(name)
@@ -133,7 +133,7 @@
     def is_candidate(self) -> bool:
         """Tell whether this entry may become home of a partition at any moment."""
         return any(
-            self.name in self._order(part)[:WATCHERS] for part in range(self.parts)
+            self.name in self._order(part)[:HOME_WATCHERS] for part in range(self.parts)
         )
 
     def _announced(self, names: Iterable[str]) -> list[Announcement]:
@@ -145,11 +145,11 @@
             if name == self.name:
                 if not self.is_leaving:
                     return None
-            elif self._is_there(name, now):
+            elif self._is_available(name, now):
                 return name
         return None
 
-    def _is_there(self, name: str, now: float) -> bool:
+    def _is_available(self, name: str, now: float) -> bool:
         item = self.directory.announcements.get(name)
         if item is None or item.boot in self.leaving:
             return False
@@ -161,11 +161,13 @@
         The latter are asked so that it is noticed when they are back.
         """
         order = self._order(part)
-        place = order.index(self.name) if self.name in order else CANDIDATES
+        place = order.index(self.name) if self.name in order else HOME_CANDIDATES
         now = self.clock()
-        if place < WATCHERS or self.watches_until.get(part, 0.0) > now:
+        if place < HOME_WATCHERS or self.watches_until.get(part, 0.0) > now:
             return order[:place]
-        return [name for name in order[:WATCHERS] if not self._is_there(name, now)]
+        return [
+            name for name in order[:HOME_WATCHERS] if not self._is_available(name, now)
+        ]
 
     def _order(self, part: int) -> tuple[str, ...]:
         directory = self.directory
@@ -179,10 +181,10 @@
         if part not in self.orders:
             announced = directory.announcements
             weights = {
-                name: max(LEAST_CORES, announced[name].cores) for name in announced
+                name: max(MIN_CORES, announced[name].cores) for name in announced
             }
-            weights.setdefault(self.name, LEAST_CORES)
+            weights.setdefault(self.name, MIN_CORES)
             self.orders[part] = weighted_rendezvous(
-                f"marks-{part}", weights, CANDIDATES
+                f"marks-{part}", weights, HOME_CANDIDATES
             )
         return self.orders[part]
--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -11,7 +11,7 @@
 from clementinebend_records.identifiers import Incarnation, name_of
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.budgets import Budgets
-from clementinebend_relay.homes import WATCH_PAUSE, Homes
+from clementinebend_relay.homes import LIVENESS_CHECK_INTERVAL, Homes
 from clementinebend_relay.messages import (
     AskMessage,
     FenceMessage,
@@ -84,7 +84,7 @@
         while True:
             self._ask_whether_live(self.homes.watched())
             self._forget_silent()
-            await sleep(WATCH_PAUSE)
+            await sleep(LIVENESS_CHECK_INTERVAL)
 
     def _ask_whether_live(self, watched: Iterable[Announcement]) -> None:
         for item in watched:
@@ -150,7 +150,7 @@
         """Hand over what can be spared, and say what the home knows."""
         self.on_heard(message.boot)
         self._ask_whether_live(
-            self.homes.on_asked_as_home(self.budgets.part(message.team))
+            self.homes.on_request_as_home(self.budgets.part(message.team))
         )
         amount = self.budgets.on_ask(message.team, message.asked)
         if amount < message.asked.amount and self.budgets.is_home_of(message.team):
@@ -215,7 +215,7 @@
         giver = name_of(Incarnation(message.boot))
         part = self.budgets.part(message.team)
         if not message.is_home and giver == self.home_of(part):
-            self.homes.on_no_home(part)
+            self.homes.on_home_denied(part)
         if message.remaining is not None:
             self.budgets.on_remaining(message.team, message.remaining)
         if message.is_home:
--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -11,7 +11,11 @@
 from clementinebend_records.identifiers import new_incarnation
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.budgets import Budgets
-from clementinebend_relay.homes import CANDIDATES, WATCH_PAUSE, WATCHERS
+from clementinebend_relay.homes import (
+    HOME_CANDIDATES,
+    HOME_WATCHERS,
+    LIVENESS_CHECK_INTERVAL,
+)
 from clementinebend_relay.messages import (
     AskMessage,
     GiftMessage,
@@ -88,7 +92,7 @@
     while peers.home_of(0) is not None:
         for item in peers.homes.watched():
             peers.homes.on_asked(item.boot)
-        clock.now += WATCH_PAUSE
+        clock.now += LIVENESS_CHECK_INTERVAL
     assert clock.now - started <= NOTICED_SECONDS
     peers.on_heard(peers.directory.announcements[order[0]].boot)
     clock.now += 1.0
@@ -102,8 +106,8 @@
         made_peers(clock, number, entries)[0] for number in range(min(40, entries))
     ]
     watched = [len(peers.homes.watched()) for peers in views]
-    assert max(watched) < WATCHERS * 4
-    assert sum(watched) <= WATCHERS * WATCHERS * 4
+    assert max(watched) < HOME_WATCHERS * 4
+    assert sum(watched) <= HOME_WATCHERS * HOME_WATCHERS * 4
 
 
 def test_an_entry_that_watches_nobody_notices_by_questions() -> None:
@@ -152,7 +156,7 @@
         )
     answers = [each for each in sent.messages if isinstance(each, GiftMessage)]
     assert len(answers) == 2 * (entries - 1)
-    assert len(sent.messages) - len(answers) <= CANDIDATES
+    assert len(sent.messages) - len(answers) <= HOME_CANDIDATES
 
 
 def test_what_is_lacking_is_handed_over_whole_once_the_home_has_it() -> None:
