--- a/libs/relay/src/clementinebend_relay/quota_plan.py
+++ b/libs/relay/src/clementinebend_relay/quota_plan.py
@@ -1,4 +1,4 @@
-"""What a holder should write to the log of marks next."""
+"""Decides what a holder should append to the log of quotas next."""
 
 from msgspec.msgpack import encode
 
@@ -8,18 +8,18 @@
 from clementinebend_relay.quota_view import NO_QUOTA, SEPARATOR, Pending, QuotaView
 
 REWRITE_SECONDS = 1.0
-"""Longest time between records of a holder that lives."""
+"""Maximum seconds between records of a live home."""
 
 SPENDABLE_STEP = 8
-"""A change of a mark is written if it is a part of one in so many of what may
-be spent without witnesses, so that small changes cost no call."""
+"""A changed quota is written if the change is at least one part in this many of what
+may be spent without witnesses, so that small changes cost no append."""
 
 CEILING_STEP = 16
-"""The same, of the whole mark."""
+"""The same for changes of the whole quota."""
 
 
 class QuotaPlan:
-    """Works out one append after the other."""
+    """Computes the appends of a holder, one at a time."""
 
     def __init__(self, view: QuotaView) -> None:
         self.view = view
@@ -27,10 +27,10 @@
         self.is_closing = False
 
     def next_append(self, written_at: float | None) -> Pending | None:
-        """Return the records that should change, none if all are as they should be.
+        """Return the append that brings the log up to date, or None if it is.
 
-        All are written again when nothing was since ``written_at``, a while
-        ago, so that the other holders see that this one lives.
+        A home also rewrites its own record when it has appended nothing for a while
+        since ``written_at``, so that the other holders see that it is alive.
         """
         view = self.view
         known = view.record()
@@ -80,9 +80,9 @@
     def _is_change_due(
         self, team: str, quota: Quota, known: Quota, is_home: bool
     ) -> bool:
-        """Tell whether a change is worth a record; the last one is exact.
+        """Return whether a change is worth a record; any change is while closing.
 
-        However little calls lack that wait for it, they get it.
+        If waiting calls lack tokens, any increase is written, however small.
         """
         if self.is_closing:
             return quota != known._replace(rate=quota.rate)
@@ -93,7 +93,7 @@
         return _is_significant(quota, known, is_home)
 
     def _reclaimed(self, live: frozenset[str]) -> tuple[tuple[str, bytes], ...]:
-        """Return the marks of dead holders, without reserves proved unspent."""
+        """Return the quotas of dead holders, less reserves proved unspent."""
         view = self.view
         records: list[tuple[str, bytes]] = []
         for holder, holder_record in view.book.holders.items():
@@ -114,11 +114,11 @@
 
 
 def _is_significant(quota: Quota, known: Quota, is_home: bool) -> bool:
-    """Tell whether a change is large enough: more, much less, or settled.
+    """Return whether a change is large enough to be written.
 
-    An entry that is not the home spends what the home has handed over and counts
-    as spent already: its records would only compete for the log's end, unless it
-    still has a mark of its own.
+    An entry that is not the home spends tokens that the home has transferred and
+    already counts as spent. Its records would only compete for the log's end, unless it
+    still has a quota of its own.
     """
     step = max(1, (known.unwitnessed - known.spent) // SPENDABLE_STEP)
     ceiling_step = max(step, (known.ceiling - known.spent) // CEILING_STEP)
