--- a/libs/relay/src/clementinebend_relay/quota_view.py
+++ b/libs/relay/src/clementinebend_relay/quota_view.py
@@ -1,6 +1,7 @@
-"""What the log says of some teams' marks, and what this holder may spend of them.
+"""The quotas of some teams as read from the log, and what this holder may spend.
 
-Nothing here waits or sends: the keeper's task feeds what it read.
+This module neither waits nor sends: the task of the quota manager passes it what it has
+read.
 """
 
 from collections.abc import Callable
@@ -27,23 +28,23 @@
 from clementinebend_relay.witnesses import Witnesses
 
 LIVE_SECONDS = 2.5
-"""A holder that wrote nothing for so long, while we could read, is taken for
-dead: its reserve is reclaimed if a witness agrees. A wrong guess costs the
-holder one commit."""
+"""A holder that has written nothing for this long, while the log was readable, is
+considered dead: its reserve is reclaimed if a witness agrees. If the holder is alive
+after all, this costs it one commit."""
 
 FRESH_SECONDS = 2.0
-"""How old a reading of the marks may be for a refusal that is final."""
+"""Maximum age in seconds of a read of the quotas for a refusal to be final."""
 
 NO_QUOTA = Quota(0, 0, 0, 0)
 NO_RECORD = HolderRecord(0, ())
 
 SEPARATOR = "/"
-"""Between team and holder in a key; names of holders have none. A holder's
+"""Separates team and holder in a key; holder names contain none. The key of a holder's
 own record has an empty team."""
 
 
 class Pending(NamedTuple):
-    """An append whose outcome is not known: it lands at offset ``at`` or never."""
+    """An append of unknown outcome: it lands at offset ``at`` or never."""
 
     at: int
     record: HolderRecord
@@ -54,10 +55,10 @@
 class Shortfall(NamedTuple):
     """A reservation that could not be made.
 
-    ``is_spent`` is true if the budget has not that much left for anyone.
-    ``left`` is what was left for live holders by the marks as they were read
-    ``age`` seconds ago, ``uncertain`` what holders that ended may have spent or
-    not; all are ``None`` before the first reading.
+    ``is_spent`` is true if too little of the budget is left for any holder. ``left`` is
+    what was left for live holders according to the quotas read ``age`` seconds ago, and
+    ``uncertain`` what ended holders may or may not have spent; all are ``None`` before
+    the first read.
     """
 
     is_spent: bool
@@ -67,10 +68,10 @@
 
 
 class QuotaView:
-    """The marks as one holder knows them, and its accounts.
+    """The quotas as one holder knows them, and its accounts.
 
-    ``pending`` is an append that may or may not be in the log: until that is
-    known, only what both cases allow may be spent.
+    ``pending`` is an append that may or may not be in the log: until its outcome is
+    known, only the amount allowed in both cases may be spent.
     """
 
     def __init__(
@@ -110,12 +111,12 @@
         return None if self.read_at is None else self.clock() - self.read_at
 
     def is_fresh(self) -> bool:
-        """Tell whether what was read last is good enough for a final refusal."""
+        """Return whether the last read is recent enough for a final refusal."""
         age = self.age()
         return age is not None and age < FRESH_SECONDS
 
     def shortfall(self, team: str, amount: int) -> Shortfall:
-        """Return why ``amount`` cannot be set aside."""
+        """Return why ``amount`` cannot be reserved."""
         if self.read_at is None or team not in self.prepaid:
             return Shortfall(False, None, None, self.age())
         allotment = self.allot(team, self.live())
@@ -124,7 +125,7 @@
         return Shortfall(is_spent, allotment.pool, uncertain, self.age())
 
     def take(self, page: Page) -> None:
-        """Take what was read, or what this holder has appended."""
+        """Apply a page that was read, or that this holder has appended."""
         self.read_at = self.clock()
         for record in page.records:
             self._put(record)
@@ -134,36 +135,36 @@
         self.refresh_limits()
 
     def refresh_limits(self) -> None:
-        """Work out anew what each account may spend."""
+        """Recompute the spending limit of each account."""
         for team, account in self.accounts.items():
             account.limit = self._limit(team)
 
     def quota(self, team: str) -> Quota:
-        """Return this holder's mark of a team, as the log has it."""
+        """Return this holder's quota of a team as recorded in the log."""
         return self.book.teams.get(team, {}).get(self.holder, NO_QUOTA)
 
     def has_open_quotas(self) -> bool:
-        """Tell whether this holder's marks let it spend more than it has."""
+        """Return whether this holder may still spend under its quotas."""
         own = (quotas.get(self.holder, NO_QUOTA) for quotas in self.book.teams.values())
         return self.pending is not None or any(
             quota.ceiling > quota.spent for quota in own
         )
 
     def record(self) -> HolderRecord:
-        """Return this holder's record, as the log has it."""
+        """Return this holder's record in the log."""
         return self.book.holders.get(self.holder, NO_RECORD)
 
     def unopened_records(self) -> list[HolderRecord]:
-        """Return the records that may be the newest and open no reserve yet."""
+        """Return the possibly newest records whose reserves are not opened yet."""
         possible = [self.record()]
         if self.pending is not None:
             possible.append(self.pending.record)
         return [record for record in possible if not self._is_opened(record)]
 
     def live(self) -> frozenset[str]:
-        """Return the holders that wrote a moment ago, or whose entry was heard.
+        """Return the holders that wrote, or whose entries were heard, recently.
 
-        Those that are not the home of a budget may write nothing for long.
+        Entries that are not the home of a budget may write nothing for a long time.
         """
         now = self.clock()
         return frozenset(
@@ -174,9 +175,9 @@
         )
 
     def allot(self, team: str, live: frozenset[str]) -> Allotment:
-        """Return the mark that this holder should have of a team.
+        """Return the quota that this holder should have of a team.
 
-        ``live`` is worked out once for all teams of a commit.
+        ``live`` is computed once for all teams of a commit.
         """
         self._raise_rates_on_takeover(team)
         return allot(
@@ -193,7 +194,7 @@
     def _raise_rates_on_takeover(self, team: str) -> None:
         """Raise the account's rates to the recent one when this holder becomes home.
 
-        Without it a new home sizes its mark from no demand and refuses calls.
+        Without it a new home sizes its quota from no demand and refuses calls.
         """
         if not self.is_home():
             self.taken_over.discard(team)
@@ -221,7 +222,7 @@
         return is_opened(record, self.witnesses.of(self.holder))
 
     def _limit(self, team: str) -> int:
-        """Return what may be spent whichever of the records is in the log."""
+        """Return what may be spent whether or not the pending append is in the log."""
         quota = self.quota(team)
         limit = self._spendable(self.record(), quota)
         if self.pending is None:
