--- a/libs/relay/src/clementinebend_relay/quota_manager.py
+++ b/libs/relay/src/clementinebend_relay/quota_manager.py
@@ -1,7 +1,7 @@
-"""Keeps this holder's marks in one partition of the log.
+"""Maintains this holder's quotas in one partition of the log.
 
-One task reads the partition, works out the marks the holder should have, and
-appends those that changed on the condition that the log ends where it read.
+One task reads the partition, computes the quotas that the holder should have, and
+appends those that changed, on condition that the log still ends where it was read.
 """
 
 from asyncio import Event, Lock, sleep, timeout
@@ -25,42 +25,42 @@
 from clementinebend_relay.quota_view import Pending, QuotaView, Shortfall
 
 COMMIT_SECONDS = 0.5
-"""Pause between commits. A finished run must be settled within 1.5 s."""
+"""Maximum pause between commits. A finished run must be settled within 1.5 s."""
 
 STALLED_SECONDS = 0.05
-"""How long a commit may take before the reserve is opened for calls that wait:
-five times the usual. A log that is silent counts as lost only later."""
+"""Seconds that a commit may take before the reserve is opened for waiting calls: five
+times the usual duration. The log is considered unavailable only later."""
 
 HOME_COMMIT_INTERVAL = 0.01
-"""Least seconds between commits of a home: what is asked meanwhile is written together.
-It adds some 5 ms to a call that lacks its budget, and bounds a home's appends to 70 a
-second."""
+"""Minimum seconds between commits of a home, so that requests that arrive meanwhile are
+written together. This adds some 5 ms to a call that lacks its budget, and limits a home
+to 70 appends a second."""
 
 RETURN_INTERVAL = 2.0
-"""Seconds between commits of an entry that is not the home of a partition and still
-has marks of its own there, until it has given them back."""
+"""Seconds between commits of an entry that is not the home of a partition and still has
+quotas of its own there, until it has returned them."""
 
 BORROWER_COMMIT_INTERVAL = 0.1
-"""Least seconds between commits of such an entry, also while calls wait: 26 of
-30 entries are not the home, and the store takes 6,000 readings a second."""
+"""Minimum seconds between commits of an entry that is not the home, even while calls
+wait: 26 of 30 entries are not the home, and the store handles 6,000 reads a second."""
 
 STALE_READ_SECONDS = 10.0
-"""Seconds without a reading after which the newest records are read instead of all
-that were written since: those of homes that write twice a second."""
+"""Seconds since the last read after which the newest records are read instead of all
+that were appended since, as homes append twice a second."""
 
 CONFLICT_PAUSE = 0.004
-"""Seconds after losing a race for the log's end; one append takes that long."""
+"""Seconds to wait after an append conflict; one append takes that long."""
 
 FAILURE_PAUSE = 0.2
-"""Seconds after a call that the store did not answer."""
+"""Seconds to wait after a call that the store did not answer."""
 
 SMOOTHING_WEIGHT = 0.3
-"""Weight of one call in the time that calls are expected to take, once they are
-faster again; slower ones count at once."""
+"""Weight of one call in the expected duration of calls while durations fall; a longer
+duration replaces the expected one at once."""
 
 
 class QuotaManager:
-    """The marks of some teams: one partition of the log, owned by one task."""
+    """Maintains the quotas of one partition of the log; owned by one task."""
 
     def __init__(self, view: QuotaView, log: KeyedLog) -> None:
         self.view = view
@@ -85,44 +85,44 @@
         return self.view.account(team)
 
     def configure(self, prepaid: dict[str, int]) -> None:
-        """Take the budgets, in tokens, of the teams in this partition."""
+        """Set the budgets, in tokens, of the teams in this partition."""
         self.view.prepaid = prepaid
         self.request_commit()
 
     def request_commit(self) -> None:
-        """Commit soon: a call waits for it."""
+        """Request a commit soon, as a call waits for it."""
         self.commit_requested.set()
 
     def close(self) -> None:
-        """Let this and all later commits give back what is not used."""
+        """Make this and all later commits return what is not used."""
         self.plan.is_closing = True
         self.request_commit()
 
     def is_fresh(self) -> bool:
-        """Tell whether what was read last is good enough for a final refusal."""
+        """Return whether the last read is recent enough for a final refusal."""
         return self.view.is_fresh()
 
     def notify_waiters(self) -> None:
-        """Let calls that wait for their budget look again."""
+        """Make calls that wait for their budget check it again."""
         self.changed.set()
         self.changed.clear()
         if self.on_change is not None:
             self.on_change()
 
     def shortfall(self, team: str, amount: int) -> Shortfall:
-        """Return why ``amount`` cannot be set aside."""
+        """Return why ``amount`` cannot be reserved."""
         return self.view.shortfall(team, amount)
 
     def open_reserve(self) -> None:
-        """Ask the witnesses to let the reserve be spent."""
+        """Ask the witnesses for permission to spend the reserve."""
         for record in self.view.unopened_records():
             self.view.witnesses.open(self.view.holder, record)
 
     async def run(self) -> None:
-        """Keep the marks for ever.
+        """Maintain the quotas until cancelled.
 
-        An entry that is not the home and has no marks neither reads nor writes: what
-        it lacks it borrows from the home.
+        An entry that is not the home and has no quotas neither reads nor writes: it
+        borrows what it needs from the home.
         """
         while True:
             if not self._is_idle_borrower():
@@ -130,11 +130,11 @@
             await self._pause()
 
     def is_unavailable(self) -> bool:
-        """Tell whether the last call to the log failed."""
+        """Return whether the last call to the log failed."""
         return self.unavailable_since is not None
 
     def is_stalled(self) -> bool:
-        """Tell whether the log is out of reach, or takes long to answer."""
+        """Return whether the log is unavailable or takes long to answer."""
         if self.is_unavailable():
             return True
         waited = (
@@ -143,7 +143,7 @@
         return waited > STALLED_SECONDS
 
     async def commit(self) -> bool:
-        """Read the log, append what should change; return whether that worked."""
+        """Read the log and append changed quotas; return whether that succeeded."""
         async with self.commit_lock:
             self.call_started_at = self.clock()
             try:
@@ -165,14 +165,14 @@
         return False
 
     def _knows_end(self) -> bool:
-        """Tell whether this home was the last to write, a moment ago."""
+        """Return whether this home appended recently and so knows the log's end."""
         view = self.view
         age = view.age()
         is_recent = age is not None and age < REWRITE_SECONDS
         return view.is_home() and is_recent and view.pending is None
 
     async def _append(self, pending: Pending) -> Appended | Conflict | StoreFailure:
-        """Append at the end that was read, and take what came of it."""
+        """Append at the end that was read, and apply the outcome."""
         view = self.view
         view.pending = pending
         view.refresh_limits()
@@ -206,7 +206,7 @@
             await self._pause_as_borrower()
 
     async def _pause_as_borrower(self) -> None:
-        """Pause until this entry becomes the home, or has marks to give back."""
+        """Pause until this entry becomes the home or has quotas to return."""
         until = self.clock() + RETURN_INTERVAL
         while not self.view.is_home():
             if await self._wait_for_commit_request(COMMIT_SECONDS):
@@ -227,7 +227,7 @@
         return not self.commit_requested.is_set()
 
     async def _wait_for_commit_request(self, pause: float) -> bool:
-        """Pause; return at once and with true if a call waits for a commit."""
+        """Pause; return true at once if a commit is requested."""
         try:
             async with timeout(pause):
                 await self.commit_requested.wait()
@@ -236,7 +236,7 @@
         return True
 
     async def _read(self) -> bool:
-        """Read to the end of the log; return whether that worked."""
+        """Read to the end of the log; return whether that succeeded."""
         while True:
             sent_at = self.clock()
             age = self.view.age()
@@ -266,7 +266,7 @@
         self.notify_waiters()
 
     def _record_answer_time(self, outcome: object, sent_at: float) -> float:
-        """Return how long a call took; note it if the log answered."""
+        """Return how long a call took; record it if the log answered."""
         taken = self.clock() - sent_at
         if not isinstance(outcome, StoreFailure):
             self.answer_seconds = _expected_seconds(self.answer_seconds, taken)
@@ -285,5 +285,5 @@
 
 
 def _expected_seconds(known: float, taken: float) -> float:
-    """Return the seconds that the next call is expected to take."""
+    """Return the expected duration of the next call in seconds."""
     return max(taken, known + (taken - known) * SMOOTHING_WEIGHT)
