--- a/libs/relay/src/clementinebend_relay/homes.py
+++ b/libs/relay/src/clementinebend_relay/homes.py
@@ -1,9 +1,9 @@
-"""Which entry is the home of a partition of budgets, and whether it lives.
+"""Selects the home of each budget partition and monitors whether it is alive.
 
-All entries rank one another alike for each partition, those with more processor more
-often in front: a home answers for all of a partition's calls. The first one that is
-not taken for gone is its home. Only the next few in that order watch it; all others
-notice that it is gone when it leaves their questions open.
+All entries compute the same ranking for each partition, weighted by processor cores
+because a home serves all calls of a partition. The first entry in it that is not
+suspected of being down is the home. Only the next few entries in the ranking watch it;
+all others notice that it is down when it does not answer their requests.
 """
 
 from collections.abc import Callable, Iterable
@@ -15,37 +15,37 @@
 from clementinebend_relay.decisions import log_decision
 
 HOME_CANDIDATES = 6
-"""How many entries of a partition's order may become its home: more than are lost at
-once, apart from a loss of all, after which the first are back as soon as others."""
+"""Number of entries in a partition's ranking that may become its home: more than are
+lost at once. If all are lost, the first ones are back as soon as any others."""
 
 HOME_WATCHERS = 3
-"""How many of them watch those before them, so that the loss of two at once is still
-noticed without a call."""
+"""Number of candidates that watch those ranked before them, so that the loss of two at
+once is noticed even without calls."""
 
 LIVENESS_CHECK_INTERVAL = 0.2
-"""Seconds between questions whether a process lives: three without an answer, and so
-a home that is gone, are noticed within a second."""
+"""Seconds between liveness checks: three without an answer, and so a failed home, are
+noticed within a second."""
 
 WATCH_SECONDS = 2.0
-"""How long a candidate that was asked as if it were home watches those before it:
-somebody takes them for gone."""
+"""Seconds for which a candidate watches those ranked before it after a request
+addressed to it as the home: the sender considers them down."""
 
 MIN_CORES = 0.01
-"""Least processor that an entry counts with, however little it announces."""
+"""Minimum number of cores that an entry is ranked with, however few it announces."""
 
 HOME_CACHE_SECONDS = 0.05
-"""How long a home is remembered: a call costs then no search."""
+"""Seconds for which a home is cached, so that calls need no search."""
 
 
 class Home(NamedTuple):
-    """Which other entry was home of a partition at some time; none if us."""
+    """The home of a partition at some time; ``entry`` is None if it is this entry."""
 
     at: float
     entry: str | None
 
 
 class Homes:
-    """The homes of all partitions, as one entry sees them."""
+    """The homes of all partitions as seen by one entry."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self.asked_at: dict[int, float] = {}
 
     def home_of(self, part: int) -> str | None:
-        """Return which other entry is home of a partition; none if it is us."""
+        """Return the other entry that is a partition's home, or None if this one is."""
         now = self.clock()
         known = self.homes.get(part)
         if known is None or now - known.at > HOME_CACHE_SECONDS:
@@ -85,28 +85,28 @@
         log_decision("budget home changed", part=part, home=home, before=before)
 
     def on_heard(self, boot: str) -> None:
-        """Note that a boot of another entry has sent something."""
+        """Record that a boot of another entry has sent a message."""
         self.suspicions.on_heard(boot)
 
     def on_asked(self, boot: str) -> None:
-        """Note that a boot of another entry was asked for something."""
+        """Record that a request was sent to a boot of another entry."""
         self.suspicions.on_asked(boot, self.clock())
 
     def on_leaving(self, boot: str) -> None:
-        """Take a boot that is about to end no more for a home."""
+        """Exclude a boot that is about to end from being a home."""
         self.leaving.add(boot)
         self.homes.clear()
 
     def resign(self) -> None:
-        """Be no home any more, unless no other entry is left."""
+        """Stop being a home, unless no other entry is left."""
         self.is_leaving = True
         self.homes.clear()
 
     def on_request_as_home(self, part: int) -> list[Announcement]:
-        """Take that another entry takes this one for the home of a partition.
+        """Handle a request that treats this entry as the home of a partition.
 
-        Return whom to ask at once whether they live: those before this one, so that
-        it takes over some 0.1 s after the first question.
+        Return the entries whose liveness to check at once: those ranked before this
+        one, so that it takes over some 0.1 s after the first request.
         """
         if self.home_of(part) is None:
             return []
@@ -118,7 +118,7 @@
         return self._announced(self._watched(part))
 
     def on_home_denied(self, part: int) -> None:
-        """Take note that the supposed home says it is none: one before it lives."""
+        """Handle a supposed home's answer that it is none: one before it is alive."""
         for name in self._order(part):
             item = self.directory.announcements.get(name)
             if item is not None:
@@ -126,12 +126,12 @@
         self.homes.pop(part, None)
 
     def watched(self) -> list[Announcement]:
-        """Return whom to ask now whether they live."""
+        """Return the entries whose liveness to check now."""
         names = {name for part in range(self.parts) for name in self._watched(part)}
         return self._announced(sorted(names))
 
     def is_candidate(self) -> bool:
-        """Tell whether this entry may become home of a partition at any moment."""
+        """Return whether this entry may become the home of a partition."""
         return any(
             self.name in self._order(part)[:HOME_WATCHERS] for part in range(self.parts)
         )
@@ -158,7 +158,7 @@
     def _watched(self, part: int) -> Iterable[str]:
         """Return the candidates before this one, or the first ones that are suspected.
 
-        The latter are asked so that it is noticed when they are back.
+        The latter are checked so that their return is noticed.
         """
         order = self._order(part)
         place = order.index(self.name) if self.name in order else HOME_CANDIDATES
