--- a/libs/ledger/src/clementinebend_ledger/quota_requests.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_requests.py
@@ -8,32 +8,32 @@
 
 from clementinebend_ledger.quota_account import QuotaAccount
 
-KEPT_SECONDS = 0.05
+RETAINED_SECONDS = 0.05
 """Seconds of its own demand that a holder keeps when it is asked."""
 
-GIVEN_SHARE = 0.9
+MAX_TRANSFER_SHARE = 0.9
 """Largest part of what it could spare that a holder gives at one time."""
 
-ASKED_SECONDS = 0.5
+EXTRA_REQUEST_SECONDS = 0.5
 """Seconds of demand that a holder asks for beside the call at hand."""
 
 
-class Wish(NamedTuple):
+class TokenRequest(NamedTuple):
     """What to ask for, in tokens."""
 
     amount: int
 
 
-def wish(account: QuotaAccount, least: int, now: float) -> Wish:
+def token_request(account: QuotaAccount, least: int, now: float) -> TokenRequest:
     """Return what a holder that lacks ``least`` tokens should ask for."""
-    return Wish(least + int(ASKED_SECONDS * account.rate(now)))
+    return TokenRequest(least + int(EXTRA_REQUEST_SECONDS * account.rate(now)))
 
 
-def gift(account: QuotaAccount, asked: Wish, now: float) -> int:
+def transferable_amount(account: QuotaAccount, asked: TokenRequest, now: float) -> int:
     """Return what this holder hands over.
 
     A part too small for the call at hand is of use, too: several holders are
     asked at once.
     """
-    spare = account.free - int(KEPT_SECONDS * account.rate(now)) - account.waiting
-    return max(0, min(asked.amount, int(spare * GIVEN_SHARE)))
+    spare = account.free - int(RETAINED_SECONDS * account.rate(now)) - account.waiting
+    return max(0, min(asked.amount, int(spare * MAX_TRANSFER_SHARE)))
--- a/libs/relay/src/clementinebend_relay/budget_peers.py
+++ b/libs/relay/src/clementinebend_relay/budget_peers.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_requests import TokenRequest
 
 
 class BudgetPeers(Protocol):
@@ -16,11 +16,11 @@
         """Tell whether a boot of another entry was heard a moment ago."""
         ...
 
-    def ask(self, entry: str, team: str, asked: Wish) -> None:
+    def ask(self, entry: str, team: str, asked: TokenRequest) -> None:
         """Ask an entry for tokens of a team's budget."""
         ...
 
-    def ask_others(self, team: str, asked: Wish) -> None:
+    def ask_others(self, team: str, asked: TokenRequest) -> None:
         """Ask some other entries."""
         ...
 
@@ -44,10 +44,10 @@
         """Return that nobody was heard."""
         return False
 
-    def ask(self, entry: str, team: str, asked: Wish) -> None:
+    def ask(self, entry: str, team: str, asked: TokenRequest) -> None:
         """Ask nobody."""
 
-    def ask_others(self, team: str, asked: Wish) -> None:
+    def ask_others(self, team: str, asked: TokenRequest) -> None:
         """Ask nobody."""
 
     def give_back(self, entry: str, team: str, amount: int) -> bool:
--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -8,7 +8,11 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from clementinebend_ledger.quota_requests import Wish, gift, wish
+from clementinebend_ledger.quota_requests import (
+    TokenRequest,
+    token_request,
+    transferable_amount,
+)
 from clementinebend_ledger.quota_sizing import at_once, borrowed
 from clementinebend_platform_client.keyed_log import KeyedLog
 from clementinebend_relay.budget_peers import BudgetPeers, NoPeers
@@ -259,7 +263,7 @@
         usual = borrowed(account, now)
         is_low = account.free < usual // 2
         if is_low and self.request_pacing[team].may_ask_home(now):
-            self.budget_peers.ask(home, team, Wish(usual))
+            self.budget_peers.ask(home, team, TokenRequest(usual))
 
     async def _wait_until_reserved(
         self,
@@ -308,7 +312,7 @@
         if home is not None:
             self._ask_home(home, team)
         if is_alone and request_pacing.may_ask_all(now):
-            asked = wish(manager.account(team), amount, now)
+            asked = token_request(manager.account(team), amount, now)
             self.budget_peers.ask_others(team, asked)
 
     def _ask_home(self, home: str, team: str) -> None:
@@ -317,7 +321,7 @@
         account = self.manager(team).account(team)
         if self.request_pacing[team].may_ask_home(now):
             needed = account.waiting + borrowed(account, now)
-            self.budget_peers.ask(home, team, Wish(needed))
+            self.budget_peers.ask(home, team, TokenRequest(needed))
 
     async def _reserve_briefly(
         self, manager: QuotaManager, team: str, amount: int
@@ -333,7 +337,7 @@
                 return True
         return False
 
-    def on_ask(self, team: str, asked: Wish) -> int:
+    def on_request(self, team: str, asked: TokenRequest) -> int:
         """Return what this entry hands over to one that asks.
 
         A home hands over all or nothing: parts of a call's budget would lie with
@@ -355,7 +359,7 @@
         if manager.is_stalled():
             manager.open_reserve()
 
-    def transferable(self, team: str, asked: Wish) -> int:
+    def transferable(self, team: str, asked: TokenRequest) -> int:
         """Return how much of what is asked could be handed over now.
 
         A home raises its mark for its own calls as for others, and keeps nothing back.
@@ -363,7 +367,7 @@
         account = self.manager(team).account(team)
         if self.is_home_of(team):
             return max(0, min(asked.amount, account.free - account.waiting))
-        return gift(account, asked, self.clock())
+        return transferable_amount(account, asked, self.clock())
 
     def hand_over(self, team: str, amount: int) -> None:
         """Count ``amount`` as spent: another entry has it now."""
@@ -381,7 +385,7 @@
         if account.free < LOW_FRACTION * at_once(account, 0.0, self.clock()):
             manager.request_commit()
 
-    def on_gift(self, team: str, amount: int, giver: str) -> None:
+    def on_transfer(self, team: str, amount: int, giver: str) -> None:
         """Take what the entry ``giver`` has handed over, which may be nothing."""
         manager = self.manager(team)
         if giver == self.budget_peers.home_of(self.part(team)):
--- a/libs/relay/src/clementinebend_relay/messages.py
+++ b/libs/relay/src/clementinebend_relay/messages.py
@@ -9,7 +9,7 @@
 from msgspec import DecodeError, Struct, ValidationError
 from msgspec.msgpack import Decoder, Encoder
 
-from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_requests import TokenRequest
 from clementinebend_ledger.quota_transfers import Transfer
 from clementinebend_ledger.quota_witness import Attestation
 from clementinebend_routing.cold_start import PermitLimit
@@ -69,12 +69,12 @@
     request: str
 
 
-class AskMessage(Struct, tag="ask", array_like=True):
+class TokenRequestMessage(Struct, tag="ask", array_like=True):
     """An entry lacks tokens of a team's budget."""
 
     boot: str
     team: str
-    asked: Wish
+    asked: TokenRequest
 
 
 class RemainingBudget(NamedTuple):
@@ -88,7 +88,7 @@
     uncertain: int
 
 
-class GiftMessage(Struct, tag="gift", array_like=True):
+class TransferMessage(Struct, tag="gift", array_like=True):
     """Tokens handed to the entry ``to``, in all, and what a home knows beside them.
 
     ``answer_seconds`` is the current answer time of the store as seen by the home, 0
@@ -191,8 +191,8 @@
     | SentMessage
     | ReadMessage
     | EndedMessage
-    | AskMessage
-    | GiftMessage
+    | TokenRequestMessage
+    | TransferMessage
     | OpenMessage
     | FenceMessage
     | AttestationMessage
--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -5,7 +5,7 @@
 from random import sample
 from typing import NamedTuple
 
-from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_requests import TokenRequest
 from clementinebend_ledger.quota_transfers import TransferBook
 from clementinebend_ledger.quota_witness import NO_EPOCH
 from clementinebend_records.identifiers import Incarnation, name_of
@@ -13,11 +13,11 @@
 from clementinebend_relay.budgets import Budgets
 from clementinebend_relay.homes import LIVENESS_CHECK_INTERVAL, Homes
 from clementinebend_relay.messages import (
-    AskMessage,
     FenceMessage,
-    GiftMessage,
     LeavingMessage,
     Message,
+    TokenRequestMessage,
+    TransferMessage,
 )
 from clementinebend_transport.client_connection import Address
 
@@ -44,7 +44,7 @@
     """What an entry has asked a home for, and not got, at some time."""
 
     at: float
-    message: AskMessage
+    message: TokenRequestMessage
     sender: Address
 
 
@@ -120,18 +120,20 @@
         at = self.heard_at.get(boot)
         return at is not None and self.clock() - at < HEARD_SECONDS
 
-    def ask(self, entry: str, team: str, asked: Wish) -> None:
+    def ask(self, entry: str, team: str, asked: TokenRequest) -> None:
         """Ask an entry for tokens of a team's budget."""
         peer = self.directory.announcements.get(entry)
         if peer is not None:
             self.homes.on_asked(peer.boot)
-            self.send(AskMessage(self.boot, team, asked), peer.address)
+            self.send(TokenRequestMessage(self.boot, team, asked), peer.address)
 
-    def ask_others(self, team: str, asked: Wish) -> None:
+    def ask_others(self, team: str, asked: TokenRequest) -> None:
         """Ask some other entries for tokens of a team's budget."""
         others = self._others()
         some = sample(others, min(MOST_ASKED, len(others)))
-        self.send_all(AskMessage(self.boot, team, asked), map(self._address, some))
+        self.send_all(
+            TokenRequestMessage(self.boot, team, asked), map(self._address, some)
+        )
 
     def give_back(self, entry: str, team: str, amount: int) -> bool:
         """Hand ``amount`` of a team's budget to an entry; return whether it is known.
@@ -142,17 +144,17 @@
         if peer is None:
             return False
         transfer = self.transfers.hand_over(peer.boot, team, amount)
-        gift = GiftMessage(self.boot, peer.boot, team, transfer, False)
-        self.send(gift, peer.address)
+        transfer_message = TransferMessage(self.boot, peer.boot, team, transfer, False)
+        self.send(transfer_message, peer.address)
         return True
 
-    def on_ask(self, message: AskMessage, sender: Address) -> None:
+    def on_request(self, message: TokenRequestMessage, sender: Address) -> None:
         """Hand over what can be spared, and say what the home knows."""
         self.on_heard(message.boot)
         self._ask_whether_live(
             self.homes.on_request_as_home(self.budgets.part(message.team))
         )
-        amount = self.budgets.on_ask(message.team, message.asked)
+        amount = self.budgets.on_request(message.team, message.asked)
         if amount < message.asked.amount and self.budgets.is_home_of(message.team):
             self._remember(message, sender)
         self._answer(message, sender, amount)
@@ -172,7 +174,7 @@
                 self.budgets.hand_over(team, asked.amount)
                 self._answer(unmet.message, unmet.sender, asked.amount)
 
-    def _remember(self, message: AskMessage, sender: Address) -> None:
+    def _remember(self, message: TokenRequestMessage, sender: Address) -> None:
         """Remember what an entry lacks, so that the mark is raised for all of it."""
         by_boot = self.unmet.setdefault(message.team, {})
         by_boot.pop(message.boot, None)
@@ -194,19 +196,21 @@
             self.unmet[team] = recent
         return list(recent.values())
 
-    def _answer(self, message: AskMessage, sender: Address, amount: int) -> None:
+    def _answer(
+        self, message: TokenRequestMessage, sender: Address, amount: int
+    ) -> None:
         team = message.team
         transfer = self.transfers.hand_over(message.boot, team, amount)
         is_home = self.budgets.is_home_of(team)
         is_lacking = is_home and amount < message.asked.amount
         remaining = self.budgets.remaining(team) if is_lacking else None
         answer_seconds = self.budgets.answer_seconds(team) if is_home else 0.0
-        gift = GiftMessage(
+        transfer_message = TransferMessage(
             self.boot, message.boot, team, transfer, is_home, remaining, answer_seconds
         )
-        self.send(gift, sender)
+        self.send(transfer_message, sender)
 
-    def on_gift(self, message: GiftMessage) -> None:
+    def on_transfer(self, message: TransferMessage) -> None:
         """Take what another entry has handed over, and only if it is to this boot."""
         if message.to != self.boot:
             return
@@ -220,7 +224,7 @@
             self.budgets.on_remaining(message.team, message.remaining)
         if message.is_home:
             self.budgets.on_home_answer_seconds(message.answer_seconds)
-        self.budgets.on_gift(message.team, amount, giver)
+        self.budgets.on_transfer(message.team, amount, giver)
 
     def _forget_silent(self) -> None:
         oldest = self.clock() - HEARD_SECONDS
--- a/libs/relay/src/clementinebend_relay/receiving.py
+++ b/libs/relay/src/clementinebend_relay/receiving.py
@@ -3,14 +3,12 @@
 from clementinebend_relay.evacuations import Evacuations
 from clementinebend_relay.leaving_news import LeavingNews
 from clementinebend_relay.messages import (
-    AskMessage,
     AttestationMessage,
     EndedMessage,
     EndpointLeavingMessage,
     EvacuationMessage,
     FatalityMessage,
     FenceMessage,
-    GiftMessage,
     LeavingMessage,
     Message,
     OpenMessage,
@@ -18,6 +16,8 @@
     ReadMessage,
     ReportMessage,
     SentMessage,
+    TokenRequestMessage,
+    TransferMessage,
 )
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.quarantine_news import QuarantineNews
@@ -44,10 +44,10 @@
     match message:
         case LeavingMessage():
             peers.on_leaving(message)
-        case AskMessage():
-            peers.on_ask(message, sender)
-        case GiftMessage():
-            peers.on_gift(message)
+        case TokenRequestMessage():
+            peers.on_request(message, sender)
+        case TransferMessage():
+            peers.on_transfer(message)
         case OpenMessage():
             desk.on_open(message, sender)
         case FenceMessage():
--- a/tests/unit/relay/mark_world.py
+++ b/tests/unit/relay/mark_world.py
@@ -6,7 +6,7 @@
 
 from msgspec.msgpack import decode
 
-from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_requests import TokenRequest
 from clementinebend_ledger.quota_transfers import TransferBook
 from clementinebend_ledger.quotas import Quota
 from clementinebend_platform_client.keyed_log import (
@@ -25,9 +25,9 @@
 from clementinebend_relay.messages import (
     AttestationMessage,
     FenceMessage,
-    GiftMessage,
     Message,
     OpenMessage,
+    TransferMessage,
 )
 from clementinebend_relay.models import CallerLimits, Configuration, Team
 from clementinebend_relay.witness import WitnessDesk
@@ -178,17 +178,17 @@
                 self.desk.on_fence(message, sender)
             case AttestationMessage():
                 self.witnesses.on_answer(message)
-            case GiftMessage():
+            case TransferMessage():
                 if message.to == self.boot:
                     self.take(message)
 
-    def take(self, message: GiftMessage) -> None:
+    def take(self, message: TransferMessage) -> None:
         """Take what is new of what another entry says it has handed over."""
         amount = self.transfers.take(message.boot, message.team, message.transfer)
         spent = self.world.spent.get(self.boot, 0)
         self.world.spent[self.boot] = spent - amount
         giver = name_of(Incarnation(message.boot))
-        self.budgets.on_gift(message.team, amount, giver)
+        self.budgets.on_transfer(message.team, amount, giver)
 
     def call(self, amount: int) -> bool:
         """Reserve for a call; it then is in progress."""
@@ -290,11 +290,13 @@
     def hand_over(self, giver: int, taker: int, amount: int, arrives: bool) -> None:
         """Let one entry ask another; the answer may get lost."""
         source, target = self.entries[giver], self.entries[taker]
-        given = source.budgets.on_ask(TEAM, Wish(amount))
+        given = source.budgets.on_request(TEAM, TokenRequest(amount))
         self.spent[source.boot] = self.spent.get(source.boot, 0) + given
         transfer = source.transfers.hand_over(target.boot, TEAM, given)
         if arrives and giver != taker:
             target.receive(
-                GiftMessage(source.boot, target.boot, TEAM, transfer, source.is_home),
+                TransferMessage(
+                    source.boot, target.boot, TEAM, transfer, source.is_home
+                ),
                 source.address,
             )
--- a/tests/unit/relay/test_message_fuzz.py
+++ b/tests/unit/relay/test_message_fuzz.py
@@ -9,15 +9,13 @@
 from clementinebend_bench.models.mark_fleet import FleetEntry, MarkFleet
 from clementinebend_bench.models.mark_store import StoreModel
 from clementinebend_bench.models.virtual_loop import run_virtually
-from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_requests import TokenRequest
 from clementinebend_ledger.quota_transfers import Transfer
 from clementinebend_relay.messages import (
-    AskMessage,
     EndedMessage,
     EndpointEndedMessage,
     EndpointLeavingMessage,
     EvacuationMessage,
-    GiftMessage,
     LeavingMessage,
     Message,
     ProbeMessage,
@@ -27,7 +25,9 @@
     ReportMessage,
     SentMessage,
     SoundMessage,
+    TokenRequestMessage,
     ToldRun,
+    TransferMessage,
     Unreadable,
     decoded,
     encoded,
@@ -71,9 +71,11 @@
     st.builds(SentMessage, names, names, numbers, numbers, parts),
     st.builds(ReadMessage, names, names),
     st.builds(EndedMessage, names, names),
-    st.builds(AskMessage, names, st.just(TEAM), st.builds(Wish, numbers)),
     st.builds(
-        GiftMessage,
+        TokenRequestMessage, names, st.just(TEAM), st.builds(TokenRequest, numbers)
+    ),
+    st.builds(
+        TransferMessage,
         names,
         names,
         st.just(TEAM),
@@ -107,7 +109,9 @@
         SentMessage("e/", "r", 1, 5, (PromptPart("p", 5),)),
         ReadMessage("e/", "r"),
         EndedMessage("e/", "r"),
-        GiftMessage("a#1", "b#1", TEAM, Transfer(1, 5), True, RemainingBudget(1, 2)),
+        TransferMessage(
+            "a#1", "b#1", TEAM, Transfer(1, 5), True, RemainingBudget(1, 2)
+        ),
         EndpointEndedMessage("a#1", "e/", 0.5, (ToldRun("a" * 24, 0.7),)),
         QuarantineMessage("a#1", "a" * 24, ("e/",)),
         SoundMessage("a#1", "a" * 24),
--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_requests import TokenRequest
 from clementinebend_ledger.quota_transfers import Transfer
 from clementinebend_membership.suspicion import ANSWER_SECONDS, MOST_UNANSWERED
 from clementinebend_records.identifiers import new_incarnation
@@ -17,10 +17,10 @@
     LIVENESS_CHECK_INTERVAL,
 )
 from clementinebend_relay.messages import (
-    AskMessage,
-    GiftMessage,
     LeavingMessage,
     Message,
+    TokenRequestMessage,
+    TransferMessage,
 )
 from clementinebend_relay.peers import UNMET_SECONDS, Peers
 from clementinebend_relay.witnesses import Witnesses
@@ -117,18 +117,18 @@
     outside = next(n for n in range(40) if f"entry-{n}" not in order)
     peers, _ = made_peers(clock, outside, 40)
     for _ in range(MOST_UNANSWERED):
-        peers.ask(order[0], TEAM, Wish(5))
+        peers.ask(order[0], TEAM, TokenRequest(5))
         clock.now += 1.5 * ANSWER_SECONDS
     clock.now += 0.1
     assert peers.home_of(0) == order[1]
-    no_home = GiftMessage(
+    no_home = TransferMessage(
         peers.directory.announcements[order[1]].boot,
         peers.boot,
         TEAM,
         Transfer(1, 0),
         is_home=False,
     )
-    peers.on_gift(no_home)
+    peers.on_transfer(no_home)
     assert peers.home_of(0) == order[0]
 
 
@@ -136,13 +136,19 @@
     peers, _ = made_peers(Clock(), entries=2)
     account = peers.budgets.managers[0].account(TEAM)
     account.waiting = 100
-    gift = GiftMessage("entry-1#1", peers.boot, TEAM, Transfer(1, 60), is_home=True)
+    transfer_message = TransferMessage(
+        "entry-1#1", peers.boot, TEAM, Transfer(1, 60), is_home=True
+    )
     for _ in range(3):
-        peers.on_gift(gift)
+        peers.on_transfer(transfer_message)
     assert account.free == 60
-    peers.on_gift(GiftMessage("entry-1#1", "other", TEAM, Transfer(1, 90), True))
+    peers.on_transfer(
+        TransferMessage("entry-1#1", "other", TEAM, Transfer(1, 90), True)
+    )
     assert account.free == 60
-    peers.on_gift(GiftMessage("entry-1#1", peers.boot, TEAM, Transfer(1, 90), True))
+    peers.on_transfer(
+        TransferMessage("entry-1#1", peers.boot, TEAM, Transfer(1, 90), True)
+    )
     assert account.free == 90
 
 
@@ -151,10 +157,11 @@
     clock = Clock()
     peers, sent = made_peers(clock, 0, entries)
     for number, asked in product(range(1, entries), (10, 20)):
-        peers.on_ask(
-            AskMessage(f"entry-{number}#1", TEAM, Wish(asked)), Address("h", 1)
+        peers.on_request(
+            TokenRequestMessage(f"entry-{number}#1", TEAM, TokenRequest(asked)),
+            Address("h", 1),
         )
-    answers = [each for each in sent.messages if isinstance(each, GiftMessage)]
+    answers = [each for each in sent.messages if isinstance(each, TransferMessage)]
     assert len(answers) == 2 * (entries - 1)
     assert len(sent.messages) - len(answers) <= HOME_CANDIDATES
 
@@ -166,12 +173,14 @@
     peers.budgets.managers[0].view.prepaid = {TEAM: 1_000}
     account = peers.budgets.managers[0].account(TEAM)
     for boot, asked in (("a#1", 30), ("a#1", 40), ("b#1", 70)):
-        peers.on_ask(AskMessage(boot, TEAM, Wish(asked)), Address("h", 1))
+        peers.on_request(
+            TokenRequestMessage(boot, TEAM, TokenRequest(asked)), Address("h", 1)
+        )
     assert account.asked_now(clock()) == 110
     account.limit = 60
     sent.messages.clear()
     peers.serve_unmet(0)
-    gifts = [each for each in sent.messages if isinstance(each, GiftMessage)]
+    gifts = [each for each in sent.messages if isinstance(each, TransferMessage)]
     assert [(each.to, each.transfer.total) for each in gifts] == [("a#1", 40)]
     clock.now += UNMET_SECONDS * 2
     account.limit = 1_000
--- a/tests/unit/relay/test_quota_manager.py
+++ b/tests/unit/relay/test_quota_manager.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_requests import TokenRequest
 from clementinebend_relay.budgets import BUDGET_WAIT, MAX_BUDGET_WAIT
 from clementinebend_relay.quota_view import LIVE_SECONDS
 from tests.unit.relay.mark_world import TEAM, MarkWorld
@@ -177,9 +177,9 @@
     spend_all(world, 0)
     entry.manager.call_started_at = world.clock.now
     world.clock.now += 0.2
-    entry.budgets.on_ask(TEAM, Wish(50))
+    entry.budgets.on_request(TEAM, TokenRequest(50))
     world.deliver()
-    assert entry.budgets.on_ask(TEAM, Wish(50)) > 0
+    assert entry.budgets.on_request(TEAM, TokenRequest(50)) > 0
 
 
 def test_an_entry_that_gave_back_what_it_borrowed_still_writes_what_it_spends(
@@ -207,7 +207,7 @@
     entry = world.entries[0]
     before = entry.account.peak_rate(world.clock())
     for _ in range(20):
-        assert entry.budgets.on_ask(TEAM, Wish(50_000)) == 0
+        assert entry.budgets.on_request(TEAM, TokenRequest(50_000)) == 0
     assert entry.account.peak_rate(world.clock()) <= before
 
 
@@ -261,7 +261,7 @@
     world.commit(0)
     account.waiting = 0
     assert account.reserve(account.free - 50)
-    given = entry.budgets.on_ask(TEAM, Wish(124))
+    given = entry.budgets.on_request(TEAM, TokenRequest(124))
     assert given < 124
     world.commit(0)
-    assert entry.budgets.on_ask(TEAM, Wish(124 - given)) == 124 - given
+    assert entry.budgets.on_request(TEAM, TokenRequest(124 - given)) == 124 - given
--- a/tests/unit/relay/test_request_pacing.py
+++ b/tests/unit/relay/test_request_pacing.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from clementinebend_ledger.quota_requests import Wish
+from clementinebend_ledger.quota_requests import TokenRequest
 from clementinebend_records.identifiers import new_incarnation
 from clementinebend_relay.announcing import Directory
 from clementinebend_relay.budgets import Budgets
@@ -54,12 +54,12 @@
     def is_heard(self, boot: str) -> bool:
         return True
 
-    def ask(self, entry: str, team: str, asked: Wish) -> None:
+    def ask(self, entry: str, team: str, asked: TokenRequest) -> None:
         self.asked_home += 1
         if self.answers:
-            self.budgets.on_gift(team, 0, HOME)
+            self.budgets.on_transfer(team, 0, HOME)
 
-    def ask_others(self, team: str, asked: Wish) -> None:
+    def ask_others(self, team: str, asked: TokenRequest) -> None:
         self.asked_all += 1
 
     def give_back(self, entry: str, team: str, amount: int) -> bool:
