--- a/libs/relay/src/clementinebend_relay/datagrams.py
+++ b/libs/relay/src/clementinebend_relay/datagrams.py
@@ -5,7 +5,12 @@
 from typing import Any, cast
 
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.messages import Message, Unreadable, decoded, encoded
+from clementinebend_relay.messages import (
+    InvalidMessage,
+    Message,
+    decode_message,
+    encode_message,
+)
 from clementinebend_transport.client_connection import Address
 
 
@@ -22,8 +27,8 @@
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         """Take a message."""
-        message = decoded(data)
-        if isinstance(message, Unreadable):
+        message = decode_message(data)
+        if isinstance(message, InvalidMessage):
             log_decision("datagram refused", sender=str(addr), problem=message.problem)
             return
         self.on_message(message, Address(*addr[:2]))
@@ -34,13 +39,13 @@
     def send(self, message: Message, address: Address) -> None:
         """Send a message, if the socket is open."""
         if self.transport is not None:
-            self.transport.sendto(encoded(message), address)
+            self.transport.sendto(encode_message(message), address)
 
     def send_all(self, message: Message, addresses: Iterable[Address]) -> None:
         """Send a message to several, encoded once."""
         if self.transport is None:
             return
-        data = encoded(message)
+        data = encode_message(message)
         for address in addresses:
             self.transport.sendto(data, address)
 
--- a/libs/relay/src/clementinebend_relay/messages.py
+++ b/libs/relay/src/clementinebend_relay/messages.py
@@ -147,7 +147,7 @@
     is_evacuated: bool
 
 
-class ToldRun(NamedTuple):
+class ReportedRun(NamedTuple):
     """A run that ended with its endpoint; ``sent_ago`` is in seconds."""
 
     fingerprint: str
@@ -160,7 +160,7 @@
     boot: str
     endpoint: str
     ended_ago: float
-    runs: tuple[ToldRun, ...]
+    runs: tuple[ReportedRun, ...]
 
 
 class QuarantineMessage(Struct, tag="quarantine", array_like=True):
@@ -204,7 +204,7 @@
 )
 
 
-class Unreadable(NamedTuple):
+class InvalidMessage(NamedTuple):
     """A datagram that is none of these messages."""
 
     problem: str
@@ -214,15 +214,15 @@
 _decoder: Decoder[Any] = Decoder(Message)
 
 
-def encoded(message: Message) -> bytes:
+def encode_message(message: Message) -> bytes:
     """Return the bytes of a message."""
     return _encoder.encode(message)
 
 
-def decoded(data: bytes) -> Message | Unreadable:
+def decode_message(data: bytes) -> Message | InvalidMessage:
     """Return the message in a datagram."""
     try:
         message: Message = _decoder.decode(data)
     except (DecodeError, ValidationError) as error:
-        return Unreadable(str(error))
+        return InvalidMessage(str(error))
     return message
--- a/libs/relay/src/clementinebend_relay/quarantine_news.py
+++ b/libs/relay/src/clementinebend_relay/quarantine_news.py
@@ -27,8 +27,8 @@
     FatalityMessage,
     Message,
     QuarantineMessage,
+    ReportedRun,
     SoundMessage,
-    ToldRun,
 )
 from clementinebend_relay.models import Endpoint, boot_name
 from clementinebend_relay.quarantine import Quarantine
@@ -206,7 +206,7 @@
 
         def message() -> Message:
             now = self.clock()
-            told = (ToldRun(name, now - run.sent_at) for name, run in runs)
+            told = (ReportedRun(name, now - run.sent_at) for name, run in runs)
             return EndpointEndedMessage(
                 self.boot, boot_name(endpoint), now - ended_at, tuple(told)
             )
--- a/tests/unit/relay/quarantine_world.py
+++ b/tests/unit/relay/quarantine_world.py
@@ -10,7 +10,7 @@
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.endpoint_ends import EndedRun
 from clementinebend_relay.following import DIRECTORY_WITHIN, Follower
-from clementinebend_relay.messages import Message, decoded, encoded
+from clementinebend_relay.messages import Message, decode_message, encode_message
 from clementinebend_relay.models import Endpoint, boot_name
 from clementinebend_relay.quarantine import Quarantine
 from clementinebend_relay.quarantine_news import QuarantineNews
@@ -97,7 +97,7 @@
 
     def send_all(self, message: Message, addresses: Iterable[Address]) -> None:
         """Deliver a datagram to several, to each of them if it isn't lost."""
-        data = encoded(message)
+        data = encode_message(message)
         self.largest = max(self.largest, len(data))
         for address in addresses:
             self.datagrams += 1
@@ -108,7 +108,7 @@
         def take() -> None:
             entry = self.entries.get(address)
             if entry is not None:
-                entry.news.on_message(decoded(data))  # type: ignore[arg-type]
+                entry.news.on_message(decode_message(data))  # type: ignore[arg-type]
 
         get_running_loop().call_later(DATAGRAM_SECONDS, take)
 
--- a/tests/unit/relay/test_message_fuzz.py
+++ b/tests/unit/relay/test_message_fuzz.py
@@ -16,21 +16,21 @@
     EndpointEndedMessage,
     EndpointLeavingMessage,
     EvacuationMessage,
+    InvalidMessage,
     LeavingMessage,
     Message,
     ProbeMessage,
     QuarantineMessage,
     ReadMessage,
     RemainingBudget,
+    ReportedRun,
     ReportMessage,
     SentMessage,
     SoundMessage,
     TokenRequestMessage,
-    ToldRun,
     TransferMessage,
-    Unreadable,
-    decoded,
-    encoded,
+    decode_message,
+    encode_message,
 )
 from clementinebend_routing.cold_start import PermitLimit
 from clementinebend_routing.endpoint_queue import QueueReport
@@ -89,7 +89,9 @@
         names,
         names,
         st.floats(),
-        st.lists(st.builds(ToldRun, fingerprints, st.floats()), max_size=4).map(tuple),
+        st.lists(st.builds(ReportedRun, fingerprints, st.floats()), max_size=4).map(
+            tuple
+        ),
     ),
     st.builds(QuarantineMessage, names, fingerprints, st.tuples(names, names)),
     st.builds(SoundMessage, names, fingerprints),
@@ -112,13 +114,13 @@
         TransferMessage(
             "a#1", "b#1", TEAM, Transfer(1, 5), True, RemainingBudget(1, 2)
         ),
-        EndpointEndedMessage("a#1", "e/", 0.5, (ToldRun("a" * 24, 0.7),)),
+        EndpointEndedMessage("a#1", "e/", 0.5, (ReportedRun("a" * 24, 0.7),)),
         QuarantineMessage("a#1", "a" * 24, ("e/",)),
         SoundMessage("a#1", "a" * 24),
         EndpointLeavingMessage("a#1", "e/"),
         EvacuationMessage("a#1", "z", 7, True),
     )
-    return tuple(map(encoded, kinds))
+    return tuple(map(encode_message, kinds))
 
 
 @given(st.integers(0, 11), st.integers(0, 200), st.binary(max_size=4))
@@ -128,8 +130,8 @@
     whole = sample()[kind]
     place %= len(whole)
     data = whole[:place] + damage + whole[place + len(damage) :]
-    outcome = decoded(data)
-    assert isinstance(outcome, Unreadable | Message)
+    outcome = decode_message(data)
+    assert isinstance(outcome, InvalidMessage | Message)
 
 
 async def take_all(sent: list[Message]) -> FleetEntry:
--- a/tests/unit/relay/test_quarantine.py
+++ b/tests/unit/relay/test_quarantine.py
@@ -8,8 +8,8 @@
 from clementinebend_relay.messages import (
     EndpointEndedMessage,
     QuarantineMessage,
+    ReportedRun,
     SoundMessage,
-    ToldRun,
 )
 from clementinebend_relay.models import Reason, boot_name
 from clementinebend_relay.quarantine import (
@@ -250,11 +250,15 @@
 
 async def hold_forged(entry: QuarantineEntry) -> None:
     """Send what a stranger, or a confused or late entry, may send."""
-    strange = EndpointEndedMessage("entry-9#1", "i-1/", 0.0, (ToldRun(FATAL, 1.0),))
+    strange = EndpointEndedMessage("entry-9#1", "i-1/", 0.0, (ReportedRun(FATAL, 1.0),))
     entry.news.on_message(strange)
     entry.news.on_message(QuarantineMessage("entry-9#1", FATAL, ()))
     known = entry.boot
-    runs = (ToldRun("x", 1.0), ToldRun(FATAL, -1.0), ToldRun(FATAL, float("nan")))
+    runs = (
+        ReportedRun("x", 1.0),
+        ReportedRun(FATAL, -1.0),
+        ReportedRun(FATAL, float("nan")),
+    )
     for age in (-1.0, 11.0, float("nan"), 0.5):
         entry.news.on_message(EndpointEndedMessage(known, "i-2/", age, runs))
     entry.news.on_message(QuarantineMessage(known, "x" * 300, ()))
@@ -279,7 +283,7 @@
     async def play() -> None:
         world = QuarantineWorld(2)
         entry = world.all()[0]
-        runs = (ToldRun(FATAL, 0.2),)
+        runs = (ReportedRun(FATAL, 0.2),)
         for _ in range(5):
             message = EndpointEndedMessage(entry.boot, "i-1/", 0.1, runs)
             entry.news.on_message(message)
