--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -25,7 +25,7 @@
 """How long a peer counts as there after its last message: homes hear of each entry
 that has calls more often."""
 
-MOST_ASKED = 8
+MAX_PEERS_ASKED = 8
 """Entries asked at once for a part of a budget while its home is silent: each call
 waits for them, and in a fleet of hundreds asking all would cost more than the calls."""
 
@@ -33,14 +33,14 @@
 """How long a home remembers that an entry lacks a part: the caller waits hardly
 longer, and the entry asks again meanwhile."""
 
-UNMET_REMEMBERED = 1_000
+MAX_UNMET_REQUESTS = 1_000
 """Entries that are remembered to lack a part of one budget."""
 
 Send = Callable[[Message, Address], None]
 SendAll = Callable[[Message, Iterable[Address]], None]
 
 
-class Unmet(NamedTuple):
+class UnmetRequest(NamedTuple):
     """What an entry has asked a home for, and not got, at some time."""
 
     at: float
@@ -71,7 +71,7 @@
         self.homes = Homes(name, len(budgets.managers), directory, clock)
         self.heard_at: dict[str, float] = {}
         self.transfers = TransferBook()
-        self.unmet: dict[str, dict[str, Unmet]] = {}
+        self.unmet: dict[str, dict[str, UnmetRequest]] = {}
         budgets.attach(self)
 
     def entry_count(self) -> int:
@@ -82,11 +82,11 @@
     async def watch(self) -> None:
         """Ask for ever whether those live that this entry may have to replace."""
         while True:
-            self._ask_whether_live(self.homes.watched())
-            self._forget_silent()
+            self._check_liveness(self.homes.watched())
+            self._drop_silent()
             await sleep(LIVENESS_CHECK_INTERVAL)
 
-    def _ask_whether_live(self, watched: Iterable[Announcement]) -> None:
+    def _check_liveness(self, watched: Iterable[Announcement]) -> None:
         for item in watched:
             self.homes.on_asked(item.boot)
             self.send(FenceMessage(item.boot, self.boot, NO_EPOCH), item.address)
@@ -130,7 +130,7 @@
     def ask_others(self, team: str, asked: TokenRequest) -> None:
         """Ask some other entries for tokens of a team's budget."""
         others = self._others()
-        some = sample(others, min(MOST_ASKED, len(others)))
+        some = sample(others, min(MAX_PEERS_ASKED, len(others)))
         self.send_all(
             TokenRequestMessage(self.boot, team, asked), map(self._address, some)
         )
@@ -151,12 +151,12 @@
     def on_request(self, message: TokenRequestMessage, sender: Address) -> None:
         """Hand over what can be spared, and say what the home knows."""
         self.on_heard(message.boot)
-        self._ask_whether_live(
+        self._check_liveness(
             self.homes.on_request_as_home(self.budgets.part(message.team))
         )
         amount = self.budgets.on_request(message.team, message.asked)
         if amount < message.asked.amount and self.budgets.is_home_of(message.team):
-            self._remember(message, sender)
+            self._record_unmet(message, sender)
         self._answer(message, sender, amount)
 
     def serve_unmet(self, part: int) -> None:
@@ -174,17 +174,17 @@
                 self.budgets.hand_over(team, asked.amount)
                 self._answer(unmet.message, unmet.sender, asked.amount)
 
-    def _remember(self, message: TokenRequestMessage, sender: Address) -> None:
+    def _record_unmet(self, message: TokenRequestMessage, sender: Address) -> None:
         """Remember what an entry lacks, so that the mark is raised for all of it."""
         by_boot = self.unmet.setdefault(message.team, {})
         by_boot.pop(message.boot, None)
-        by_boot[message.boot] = Unmet(self.clock(), message, sender)
-        if len(by_boot) > UNMET_REMEMBERED:
+        by_boot[message.boot] = UnmetRequest(self.clock(), message, sender)
+        if len(by_boot) > MAX_UNMET_REQUESTS:
             del by_boot[next(iter(by_boot))]
         lacking = (each.message.asked.amount for each in self._unmet_of(message.team))
         self.budgets.record_request(message.team, sum(lacking))
 
-    def _unmet_of(self, team: str) -> list[Unmet]:
+    def _unmet_of(self, team: str) -> list[UnmetRequest]:
         """Return what entries lack of a team's budget, and forget what is too old."""
         oldest = self.clock() - UNMET_SECONDS
         recent = {
@@ -226,7 +226,7 @@
             self.budgets.on_home_answer_seconds(message.answer_seconds)
         self.budgets.on_transfer(message.team, amount, giver)
 
-    def _forget_silent(self) -> None:
+    def _drop_silent(self) -> None:
         oldest = self.clock() - HEARD_SECONDS
         self.heard_at = {boot: at for boot, at in self.heard_at.items() if at >= oldest}
 
