--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -24,7 +24,7 @@
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.receiving import receive
-from clementinebend_relay.witness import WitnessDesk
+from clementinebend_relay.witness import WitnessServer
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_transport.client_connection import Address
 
@@ -60,7 +60,7 @@
         self.address = Address(f"10.0.0.{number}", 1)
         self.boot = Incarnation(f"{self.name}#{fleet.next_boot()}")
         self.directory = Directory()
-        self.desk = WitnessDesk(self.boot, self.send)
+        self.desk = WitnessServer(self.boot, self.send)
         zone = f"zone-{number}"
         self.witnesses = Witnesses(self.boot, zone, self.directory, self.send, clock)
         log = ModelLog(fleet.store)
--- a/libs/ledger/src/clementinebend_ledger/quota_witness.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_witness.py
@@ -11,7 +11,7 @@
 
 NO_EPOCH = -1
 
-WITNESSES = 2
+WITNESS_COUNT = 2
 """Witnesses of one holder: one that survives is proof enough, and both must
 be there to open a reserve."""
 
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -35,7 +35,7 @@
 from clementinebend_relay.settings import RelaySettings
 from clementinebend_relay.streams import StreamRelay
 from clementinebend_relay.waiting_room import WaitingRoom
-from clementinebend_relay.witness import WitnessDesk
+from clementinebend_relay.witness import WitnessServer
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_routing.sessions import SessionMemory
 from clementinebend_transport.client_connection import Address
@@ -91,7 +91,7 @@
         self.probe = probe
         self.gateways = Directory(self._on_gateways)
         self.socket: DatagramSocket | None = None
-        self.desk = WitnessDesk(boot, self._send)
+        self.desk = WitnessServer(boot, self._send)
         self.witnesses = Witnesses(boot, settings.zone, self.entries, self._send, clock)
         self.budgets = Budgets(
             boot, logs.marks, self.witnesses, self.entries.has_successor, clock
--- a/libs/relay/src/clementinebend_relay/receiving.py
+++ b/libs/relay/src/clementinebend_relay/receiving.py
@@ -23,7 +23,7 @@
 from clementinebend_relay.quarantine_news import QuarantineNews
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
-from clementinebend_relay.witness import WitnessDesk
+from clementinebend_relay.witness import WitnessServer
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_transport.client_connection import Address
 
@@ -32,7 +32,7 @@
     message: Message,
     sender: Address,
     peers: Peers,
-    desk: WitnessDesk,
+    desk: WitnessServer,
     witnesses: Witnesses,
     probes: QueueProbes,
     queues: QueueDesk,
--- a/libs/relay/src/clementinebend_relay/witness.py
+++ b/libs/relay/src/clementinebend_relay/witness.py
@@ -13,7 +13,7 @@
 from clementinebend_transport.client_connection import Address
 
 
-class WitnessDesk:
+class WitnessServer:
     """Answers other entries' questions from the memory of this boot."""
 
     def __init__(self, boot: str, send: Callable[[Message, Address], None]) -> None:
--- a/libs/relay/src/clementinebend_relay/witnesses.py
+++ b/libs/relay/src/clementinebend_relay/witnesses.py
@@ -3,7 +3,7 @@
 from asyncio import sleep
 from collections.abc import Callable, Iterable
 
-from clementinebend_ledger.quota_witness import NO_EPOCH, WITNESSES, Attestation
+from clementinebend_ledger.quota_witness import NO_EPOCH, WITNESS_COUNT, Attestation
 from clementinebend_ledger.quotas import HolderRecord, Witness
 from clementinebend_membership.rendezvous import rendezvous
 from clementinebend_relay.announcing import Announcement, Directory
@@ -15,7 +15,7 @@
 )
 from clementinebend_transport.client_connection import Address
 
-PING_PAUSE = 0.5
+PING_INTERVAL = 0.5
 """Seconds between questions whether a witness is there."""
 
 LIVE_SECONDS = 1.8
@@ -59,7 +59,7 @@
         kept_boots = {witness.boot for witness in kept}
         zones = {item.zone for item in live if item.boot in kept_boots}
         for item in sorted(live, key=lambda item: item.zone == self.zone):
-            if len(kept) >= WITNESSES:
+            if len(kept) >= WITNESS_COUNT:
                 break
             is_only = not any(
                 other.zone not in zones and other.zone != self.zone for other in live
@@ -100,10 +100,10 @@
     async def run(self) -> None:
         """Ask for ever whether witnesses are there."""
         while True:
-            for item in self._asked() if self.is_needed() else ():
+            for item in self._pinged() if self.is_needed() else ():
                 ping = FenceMessage(item.boot, self.boot, NO_EPOCH)
                 self.send(ping, item.address)
-            await sleep(PING_PAUSE)
+            await sleep(PING_INTERVAL)
 
     def _ranked(self) -> list[Announcement]:
         """Return the announced witnesses in this entry's own order."""
@@ -112,13 +112,13 @@
         ranked = [announced[name] for name in order]
         return [item for item in ranked if item.boot != self.boot]
 
-    def _asked(self) -> Iterable[Announcement]:
+    def _pinged(self) -> Iterable[Announcement]:
         """Return whom to ask: the first few, until enough of them answer."""
         live = 0
         for item in self._ranked():
             yield item
             live += self._is_live(item.boot)
-            if live >= 2 * WITNESSES:
+            if live >= 2 * WITNESS_COUNT:
                 return
 
     def _is_live(self, boot: str) -> bool:
--- a/tests/unit/relay/mark_world.py
+++ b/tests/unit/relay/mark_world.py
@@ -30,7 +30,7 @@
     TransferMessage,
 )
 from clementinebend_relay.models import CallerLimits, Configuration, Team
-from clementinebend_relay.witness import WitnessDesk
+from clementinebend_relay.witness import WitnessServer
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_transport.client_connection import Address
 
@@ -133,7 +133,7 @@
         self.address = Address(f"10.0.0.{number}", 1)
         self.boot = new_incarnation(f"entry-{number}")
         self.log = FakeLog(world.records, world.late, world.clock)
-        self.desk = WitnessDesk(self.boot, self.send)
+        self.desk = WitnessServer(self.boot, self.send)
         self.witnesses = Witnesses(
             self.boot, f"zone-{number}", world.directory, self.send, world.clock
         )
