--- a/libs/ledger/src/clementinebend_ledger/quota_account.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_account.py
@@ -8,16 +8,16 @@
 
 from math import exp
 
-FAST_SECONDS = 2.0
+FAST_RATE_SECONDS = 2.0
 """Time constant of the rate that follows a sudden demand."""
 
-SLOW_SECONDS = 8.0
+SLOW_RATE_SECONDS = 8.0
 """Time constant of the rate that remembers demand over a lull."""
 
 SHARE_WEIGHT = 0.05
 """Weight of one call in the average part of its reservation that is spent."""
 
-ASKED_SECONDS = 0.5
+REQUEST_SECONDS = 0.5
 """How long a part is kept ready for another holder that asked: some repeats of
 its question."""
 
@@ -36,8 +36,8 @@
         self.spent = 0
         self.reserved = 0
         self.waiting = 0
-        self.asked = 0
-        self.asked_until = now
+        self.requested = 0
+        self.request_expires_at = now
         self.largest = 0.0
         self.spent_share = 1.0
         self.fast_rate = 0.0
@@ -71,19 +71,19 @@
         self.reserved += amount
         return True
 
-    def demand(self, amount: int, now: float) -> None:
+    def record_demand(self, amount: int, now: float) -> None:
         """Count a call that may cost ``amount``, whether it is admitted or not."""
         self.largest = max(self.largest * LARGEST_DECAY, amount)
         self._decay(now)
         expected = amount * self.spent_share
-        self.fast_rate += expected / FAST_SECONDS
-        self.slow_rate += expected / SLOW_SECONDS
+        self.fast_rate += expected / FAST_RATE_SECONDS
+        self.slow_rate += expected / SLOW_RATE_SECONDS
 
-    def lent(self, amount: int, now: float) -> None:
+    def record_lending(self, amount: int, now: float) -> None:
         """Count what others ask a home for as demand for its budget."""
         self._decay(now)
-        self.fast_rate += amount / FAST_SECONDS
-        self.slow_rate += amount / SLOW_SECONDS
+        self.fast_rate += amount / FAST_RATE_SECONDS
+        self.slow_rate += amount / SLOW_RATE_SECONDS
 
     def raise_rates(self, rate: float, now: float) -> None:
         """Raise both rates to at least ``rate``; they decay from there as usual."""
@@ -93,12 +93,12 @@
 
     def ask(self, amount: int, now: float) -> None:
         """Note that another holder asks for a part, for a short time."""
-        self.asked = amount
-        self.asked_until = now + ASKED_SECONDS
+        self.requested = amount
+        self.request_expires_at = now + REQUEST_SECONDS
 
-    def asked_now(self, now: float) -> int:
+    def requested_now(self, now: float) -> int:
         """Return what others have asked for a moment ago."""
-        return self.asked if now < self.asked_until else 0
+        return self.requested if now < self.request_expires_at else 0
 
     def give(self, amount: int) -> None:
         """Hand a free part to another holder: for this one it is spent."""
@@ -119,5 +119,5 @@
     def _decay(self, now: float) -> None:
         elapsed = max(0.0, now - self.rated_at)
         self.rated_at = now
-        self.fast_rate *= exp(-elapsed / FAST_SECONDS)
-        self.slow_rate *= exp(-elapsed / SLOW_SECONDS)
+        self.fast_rate *= exp(-elapsed / FAST_RATE_SECONDS)
+        self.slow_rate *= exp(-elapsed / SLOW_RATE_SECONDS)
--- a/libs/ledger/src/clementinebend_ledger/quota_sizing.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_sizing.py
@@ -119,7 +119,7 @@
     """Return what a home should have free, and what of it without witnesses."""
     rate = max(LEAST_RATE, account.rate(now))
     needed = at_once(account, append_seconds, now)
-    needed = max(needed + account.asked_now(now), account.waiting)
+    needed = max(needed + account.requested_now(now), account.waiting)
     wanted = HORIZON_SECONDS * rate + LARGEST_KEPT * account.largest
     wanted = max(wanted, FIRST_SHARE * prepaid)
     reserve = min(wanted, RESERVE_PART * max(0, pool), BUDGET_PART * prepaid)
--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -206,7 +206,7 @@
             return Reservation(team.name, 0)
         manager = self.manager(team.name)
         account = manager.account(team.name)
-        account.demand(amount, self.clock())
+        account.record_demand(amount, self.clock())
         if account.reserve(amount):
             self._borrow(team.name)
             self._raise_before_empty(manager, team.name)
@@ -374,7 +374,7 @@
         account = self.manager(team).account(team)
         account.give(amount)
         if self.is_home_of(team):
-            account.lent(amount, self.clock())
+            account.record_lending(amount, self.clock())
         self._raise_before_empty(self.manager(team), team)
 
     def _raise_before_empty(self, manager: QuotaManager, team: str) -> None:
--- a/libs/relay/src/clementinebend_relay/quota_plan.py
+++ b/libs/relay/src/clementinebend_relay/quota_plan.py
@@ -87,7 +87,7 @@
         if self.is_closing:
             return quota != known._replace(rate=quota.rate)
         account = self.view.account(team)
-        lacking = account.waiting + account.asked_now(self.view.clock())
+        lacking = account.waiting + account.requested_now(self.view.clock())
         if lacking > account.free and quota.unwitnessed > known.unwitnessed:
             return True
         return _is_significant(quota, known, is_home)
--- a/tests/unit/ledger/test_quotas.py
+++ b/tests/unit/ledger/test_quotas.py
@@ -38,6 +38,6 @@
     account.raise_rates(40_000, 0.0)
     assert account.peak_rate(0.0) == 40_000
     assert account.peak_rate(30.0) < 1_500
-    account.demand(8_000, 30.0)
+    account.record_demand(8_000, 30.0)
     account.raise_rates(10, 30.0)
     assert account.rate(30.0) > 1_000
--- a/tests/unit/relay/mark_world.py
+++ b/tests/unit/relay/mark_world.py
@@ -192,7 +192,7 @@
 
     def call(self, amount: int) -> bool:
         """Reserve for a call; it then is in progress."""
-        self.account.demand(amount, self.world.clock())
+        self.account.record_demand(amount, self.world.clock())
         if not self.account.reserve(amount):
             return False
         self.outstanding.append(amount)
--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -176,7 +176,7 @@
         peers.on_request(
             TokenRequestMessage(boot, TEAM, TokenRequest(asked)), Address("h", 1)
         )
-    assert account.asked_now(clock()) == 110
+    assert account.requested_now(clock()) == 110
     account.limit = 60
     sent.messages.clear()
     peers.serve_unmet(0)
--- a/tests/unit/relay/test_quota_manager.py
+++ b/tests/unit/relay/test_quota_manager.py
@@ -32,7 +32,7 @@
 def raise_demand(world: MarkWorld, number: int) -> None:
     """Let callers ask for much, so that the entry wants a large mark."""
     for _ in range(20):
-        world.entries[number].account.demand(400, world.clock())
+        world.entries[number].account.record_demand(400, world.clock())
     world.commit(number)
 
 
@@ -189,7 +189,7 @@
     entry = world.entries[1]
     entry.is_home = False
     for _ in range(21):
-        entry.account.demand(400, world.clock())
+        entry.account.record_demand(400, world.clock())
     world.hand_over(0, 1, 500, arrives=True)
     world.commit(1)
     assert world.quotas()[entry.boot].ceiling < 0
