--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -13,7 +13,7 @@
     token_request,
     transferable_amount,
 )
-from clementinebend_ledger.quota_sizing import at_once, borrowed
+from clementinebend_ledger.quota_sizing import borrow_target, unwitnessed_target
 from clementinebend_platform_client.keyed_log import KeyedLog
 from clementinebend_relay.budget_peers import BudgetPeers, NoPeers
 from clementinebend_relay.messages import RemainingBudget
@@ -260,7 +260,7 @@
             return
         now = self.clock()
         account = self.manager(team).account(team)
-        usual = borrowed(account, now)
+        usual = borrow_target(account, now)
         is_low = account.free < usual // 2
         if is_low and self.request_pacing[team].may_ask_home(now):
             self.budget_peers.ask(home, team, TokenRequest(usual))
@@ -320,7 +320,7 @@
         now = self.clock()
         account = self.manager(team).account(team)
         if self.request_pacing[team].may_ask_home(now):
-            needed = account.waiting + borrowed(account, now)
+            needed = account.waiting + borrow_target(account, now)
             self.budget_peers.ask(home, team, TokenRequest(needed))
 
     async def _reserve_briefly(
@@ -382,7 +382,7 @@
         if not self.is_home_of(team):
             return
         account = manager.account(team)
-        if account.free < LOW_FRACTION * at_once(account, 0.0, self.clock()):
+        if account.free < LOW_FRACTION * unwitnessed_target(account, 0.0, self.clock()):
             manager.request_commit()
 
     def on_transfer(self, team: str, amount: int, giver: str) -> None:
@@ -426,7 +426,7 @@
         if home is None:
             return
         account = manager.account(team)
-        kept = borrowed(account, self.clock())
+        kept = borrow_target(account, self.clock())
         surplus = account.free - kept
         if account.free <= RETURN_FACTOR * kept or surplus <= 0:
             return
--- a/libs/relay/src/clementinebend_relay/quota_plan.py
+++ b/libs/relay/src/clementinebend_relay/quota_plan.py
@@ -70,8 +70,8 @@
 
     def _target_quota(self, team: str, live: frozenset[str]) -> Quota:
         account = self.view.account(team)
-        allotment = self.view.allot(team, live)
-        ceiling, unwitnessed = allotment.ceiling, allotment.unwitnessed
+        size = self.view.size_quota(team, live)
+        ceiling, unwitnessed = size.ceiling, size.unwitnessed
         if self.is_closing:
             ceiling = unwitnessed = account.used
         rate = int(account.rate(self.view.clock()))
--- a/libs/relay/src/clementinebend_relay/quota_view.py
+++ b/libs/relay/src/clementinebend_relay/quota_view.py
@@ -11,7 +11,7 @@
 from msgspec.msgpack import decode
 
 from clementinebend_ledger.quota_account import QuotaAccount
-from clementinebend_ledger.quota_sizing import Allotment, allot
+from clementinebend_ledger.quota_sizing import QuotaSize, size_quota
 from clementinebend_ledger.quota_witness import is_opened
 from clementinebend_ledger.quotas import (
     HolderRecord,
@@ -119,10 +119,10 @@
         """Return why ``amount`` cannot be reserved."""
         if self.read_at is None or team not in self.prepaid:
             return Shortfall(False, None, None, self.age())
-        allotment = self.allot(team, self.live())
-        is_spent = self.is_fresh() and allotment.unspent < amount
-        uncertain = allotment.unspent - allotment.pool
-        return Shortfall(is_spent, allotment.pool, uncertain, self.age())
+        size = self.size_quota(team, self.live())
+        is_spent = self.is_fresh() and size.unspent < amount
+        uncertain = size.unspent - size.pool
+        return Shortfall(is_spent, size.pool, uncertain, self.age())
 
     def take(self, page: Page) -> None:
         """Apply a page that was read, or that this holder has appended."""
@@ -174,13 +174,13 @@
             and not self.is_succeeded(name)
         )
 
-    def allot(self, team: str, live: frozenset[str]) -> Allotment:
+    def size_quota(self, team: str, live: frozenset[str]) -> QuotaSize:
         """Return the quota that this holder should have of a team.
 
         ``live`` is computed once for all teams of a commit.
         """
         self._raise_rates_on_takeover(team)
-        return allot(
+        return size_quota(
             self.account(team),
             self.quota(team),
             others(self.book, team, self.holder),
