--- a/libs/ledger/src/clementinebend_ledger/quota_transfers.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_transfers.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-PAIRS_REMEMBERED = 20_000
+MAX_PAIRS = 20_000
 """Pairs of another holder and a team that are remembered each way, some 4 MB: those
 of a home that lends 50 busy budgets to 400 entries. A pair that is forgotten loses at
 most what was on its way."""
@@ -38,12 +38,12 @@
 class TransferBook:
     """What one boot has handed to others, and what it has taken from them."""
 
-    def __init__(self, remembered: int = PAIRS_REMEMBERED) -> None:
-        self.remembered = remembered
+    def __init__(self, max_pairs: int = MAX_PAIRS) -> None:
+        self.max_pairs = max_pairs
         self.last_series = 0
         self.given: OrderedDict[PairKey, Transfer] = OrderedDict()
         self.taken: OrderedDict[PairKey, Transfer] = OrderedDict()
-        self.closed: dict[str, int] = {}
+        self.dropped_series: dict[str, int] = {}
         """The newest series of each giver of which a pair was forgotten: no unknown
         pair of it up to there is taken, as it may have been taken before."""
 
@@ -57,7 +57,7 @@
         transfer = known._replace(total=known.total + amount)
         self.given[key] = transfer
         self.given.move_to_end(key)
-        if len(self.given) > self.remembered:
+        if len(self.given) > self.max_pairs:
             self.given.popitem(last=False)
         return transfer
 
@@ -65,7 +65,7 @@
         """Return how much of what ``giver`` told is new."""
         key = PairKey(giver, team)
         known = self.taken.get(key)
-        if known is None and transfer.series <= self.closed.get(giver, 0):
+        if known is None and transfer.series <= self.dropped_series.get(giver, 0):
             return 0
         if known is None or transfer.series > known.series:
             known = Transfer(transfer.series, 0)
@@ -73,11 +73,11 @@
             return 0
         self.taken[key] = transfer
         self.taken.move_to_end(key)
-        if len(self.taken) > self.remembered:
-            self._forget_oldest()
+        if len(self.taken) > self.max_pairs:
+            self._drop_oldest()
         return transfer.total - known.total
 
-    def _forget_oldest(self) -> None:
+    def _drop_oldest(self) -> None:
         key, transfer = self.taken.popitem(last=False)
-        newest = max(transfer.series, self.closed.get(key.boot, 0))
-        self.closed[key.boot] = newest
+        newest = max(transfer.series, self.dropped_series.get(key.boot, 0))
+        self.dropped_series[key.boot] = newest
--- a/tests/unit/ledger/test_quota_transfers.py
+++ b/tests/unit/ledger/test_quota_transfers.py
@@ -48,7 +48,7 @@
 
 
 def test_a_pair_that_was_forgotten_is_not_taken_again() -> None:
-    taker = TransferBook(remembered=1)
+    taker = TransferBook(max_pairs=1)
     assert taker.take(GIVER, "a", Transfer(1, 40)) == 40
     assert taker.take(GIVER, "b", Transfer(2, 7)) == 7
     assert taker.take(GIVER, "a", Transfer(1, 40)) == 0
