--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets in this entry's hands: reservation and settlement of calls."""
+"""Reserves and settles tokens of prepaid budgets for the calls of this entry."""
 
 from asyncio import Timeout, gather, get_running_loop, timeout
 from collections import defaultdict
@@ -24,46 +24,49 @@
 from clementinebend_relay.witnesses import Witnesses
 
 FALLBACK_SECONDS = HOME_REQUEST_INTERVAL
-"""Seconds that a waiting call leaves to the home or the store, which answer in
-some 5 and 10 ms, before it turns to the reserve and to the other entries."""
+"""Seconds that a waiting call gives the home or the store, which answer in some 5 and
+10 ms, before it also tries the reserve and the other entries."""
 
 BUDGET_WAIT = 0.25
-"""Seconds that a call waits for its budget while the store answers. A new configuration
-that all entries read at once holds up a home's append for some 0.1 s; a caller that is
-told to come back after 0.5 s is late in any case."""
+"""Seconds that a call waits for its budget while the store answers normally. A new
+configuration that all entries read at once delays a home's append by some 0.1 s; a
+caller that is told to retry after 0.5 s is late in any case."""
 
 STORE_ANSWERS_AWAITED = 2.5
-"""The same in answers of a slow store: one that is on its way, and the next."""
+"""How many store answers a call waits for if the store is slow: the one in progress and
+the next."""
 
 MAX_BUDGET_WAIT = 0.8
-"""Longest time in seconds that a call waits for its budget: two answers of a slow
-store. A refused caller would take about as long until it is back."""
+"""Maximum seconds that a call waits for its budget: two answers of a slow store. A
+refused caller would take about as long to retry."""
 
 ANSWER_TIME_REPORT_SECONDS = 2.0
 """Seconds for which a store answer time reported by a home remains valid."""
 
 LOW_FRACTION = 0.5
-"""Part of what a home may spend at once below which it raises its mark: what is left
-lasts for the append."""
+"""Fraction of the unwitnessed target below which a home raises its quota early. The
+remainder lasts for the duration of the append."""
 
 REMAINING_VALID_SECONDS = 0.25
-"""How long a home's word that a budget has too little left turns calls away at once;
-then it is asked again, as callers may have returned what they did not use."""
+"""Seconds for which calls are refused at once because the home reported too small a
+remaining budget. After that the home is asked again, as calls may have returned unused
+tokens."""
 
 REMAINING_CACHE_SECONDS = 0.02
-"""How long what is left of a budget is remembered: a home on a small host may be asked
+"""Seconds for which the remaining budget is cached: a home on a small host may be asked
 for the same budget a hundred times a second."""
 
 RETURN_FACTOR = 3
-"""Times what an entry keeps at hand from which on it gives the rest back. What many
-entries keep of ended calls is lacking elsewhere: calls are refused with budget left."""
+"""An entry returns its surplus to the home once it has more than this multiple of its
+borrow target. Tokens that many entries keep after their calls have ended are missing
+elsewhere: calls are refused although budget is left."""
 
 PARTITION_SEPARATOR = "@"
-"""Between an entry's boot and its partition in a holder's name."""
+"""Separates the boot of an entry from the partition in a holder's name."""
 
 
 class RemainingReport(NamedTuple):
-    """What the home of a budget said was left of it, and when."""
+    """The remaining budget that the home reported, and when the report arrived."""
 
     at: float
     remaining: RemainingBudget
@@ -77,26 +80,26 @@
 
 
 class Reservation(NamedTuple):
-    """Tokens set aside for one call."""
+    """Tokens reserved for one call."""
 
     team: str
     amount: int
 
 
 def holder_name(boot: str, part: int) -> str:
-    """Return the name under which a boot of an entry holds marks in a partition."""
+    """Return the holder name of a boot of an entry in a partition."""
     return f"{boot}{PARTITION_SEPARATOR}{part}"
 
 
 def boot_of(holder: str) -> str:
-    """Return the boot that a holder's name tells."""
+    """Return the boot that a holder name contains."""
     return holder.rpartition(PARTITION_SEPARATOR)[0]
 
 
 class Budgets:
     """All budgets of this entry, by team.
 
-    ``is_succeeded`` tells of a boot whether the same entry has a later one.
+    ``is_succeeded`` returns whether an entry has a later boot than the given one.
     """
 
     def __init__(
@@ -121,13 +124,13 @@
         )
 
     def attach(self, budget_peers: BudgetPeers) -> None:
-        """Take the other entries, which hear when there is more to hand over."""
+        """Set the other entries, which are notified when more tokens are available."""
         self.budget_peers = budget_peers
         for part, manager in enumerate(self.managers):
             manager.on_change = partial(budget_peers.serve_unmet, part)
 
     def configure(self, configuration: Configuration) -> None:
-        """Take the budgets of a configuration."""
+        """Apply the budgets of a configuration."""
         self.reported.clear()
         self.remaining_cache.clear()
         for manager in self.managers:
@@ -140,11 +143,11 @@
             )
 
     def manager(self, team: str) -> QuotaManager:
-        """Return who keeps the marks of a team; all entries find the same."""
+        """Return the quota manager of a team; all entries choose the same one."""
         return self.managers[self.part(team)]
 
     def part(self, team: str) -> int:
-        """Return the partition that holds the marks of a team."""
+        """Return the partition that holds the quotas of a team."""
         return crc32(team.encode()) % len(self.managers)
 
     def _is_home(self, part: int) -> bool:
@@ -170,7 +173,7 @@
         return min(MAX_BUDGET_WAIT, max(BUDGET_WAIT, STORE_ANSWERS_AWAITED * slowest))
 
     def answer_seconds(self, team: str) -> float:
-        """Return how long the store takes to answer calls for a team's marks."""
+        """Return how many seconds the store takes to answer for a team's quotas."""
         return self.manager(team).answer_seconds
 
     def on_home_answer_seconds(self, seconds: float) -> None:
@@ -185,10 +188,10 @@
         return report.answer_seconds if is_recent else 0.0
 
     def is_log_unavailable(self) -> bool:
-        """Tell whether some part of the log is out of reach at the moment.
+        """Return whether some partition of the log is currently unavailable.
 
-        An entry that is no home calls it seldom, and goes by what it reads elsewhere
-        in the store.
+        An entry that is not a home rarely calls the log; it relies on the state of its
+        other reads of the store.
         """
         return self.is_store_lost() or any(
             manager.is_unavailable() for manager in self.managers
@@ -197,7 +200,7 @@
     async def reserve(
         self, team: Team, amount: int, wait: float, longest_wait: float = 0.0
     ) -> Reservation | Shortfall:
-        """Set ``amount`` aside, waiting up to ``wait`` seconds for it.
+        """Reserve ``amount`` tokens, waiting up to ``wait`` seconds for them.
 
         The wait is extended, up to ``longest_wait`` seconds in all, if the home reports
         a slow store in the meantime.
@@ -232,7 +235,7 @@
     def _final_shortfall(
         self, manager: QuotaManager, team: str, amount: int
     ) -> Shortfall | None:
-        """Return why no wait would help, none if one might."""
+        """Return the shortfall if waiting cannot help, or None if it might."""
         shortfall = self._shortfall(manager, team, amount)
         if shortfall.left is None or shortfall.left >= amount or shortfall.age is None:
             return None
@@ -243,7 +246,7 @@
         return shortfall if is_fresh else None
 
     def _shortfall(self, manager: QuotaManager, team: str, amount: int) -> Shortfall:
-        """Return why ``amount`` cannot be set aside, by what the home said last."""
+        """Return why ``amount`` cannot be reserved, going by the home's last report."""
         reported = self.reported.get(team)
         if reported is None or self.is_home_of(team):
             return manager.shortfall(team, amount)
@@ -254,7 +257,7 @@
         return Shortfall(is_spent, left, uncertain, age)
 
     def _borrow(self, team: str) -> None:
-        """Ask the home for more before what is borrowed runs out."""
+        """Request more tokens from the home before the borrowed ones run out."""
         home = self.budget_peers.home_of(self.part(team))
         if home is None:
             return
@@ -273,11 +276,12 @@
         wait_timeout: Timeout,
         latest_deadline: float,
     ) -> bool:
-        """Return true once ``amount`` is set aside: by the home, the store, or others.
+        """Return true once ``amount`` is reserved, whoever provides the tokens.
 
-        The first turn is the home's, or the store's where this is the home. False as
-        soon as the home says that too little is left. ``wait_timeout`` is extended, to
-        ``latest_deadline`` at most, when ``wait_seconds`` grows during the wait.
+        The first attempt waits for the home, or for the store if this entry is the
+        home. Returns false as soon as the home reports that too little is left.
+        ``wait_timeout`` is extended, to ``latest_deadline`` at most, when
+        ``wait_seconds`` grows during the wait.
         """
         started_at = get_running_loop().time()
         self._request_first(manager, team)
@@ -300,7 +304,7 @@
             manager.request_commit()
 
     def _request_again(self, manager: QuotaManager, team: str, amount: int) -> None:
-        """Ask the home again; if it is silent, the store and some others."""
+        """Ask the home again; if it is silent, ask the store and other entries."""
         home = self.budget_peers.home_of(self.part(team))
         now = self.clock()
         request_pacing = self.request_pacing[team]
@@ -316,7 +320,7 @@
             self.budget_peers.ask_others(team, asked)
 
     def _ask_home(self, home: str, team: str) -> None:
-        """Ask for what all calls that wait need."""
+        """Request the tokens that all waiting calls need."""
         now = self.clock()
         account = self.manager(team).account(team)
         if self.request_pacing[team].may_ask_home(now):
@@ -326,7 +330,7 @@
     async def _reserve_briefly(
         self, manager: QuotaManager, team: str, amount: int
     ) -> bool:
-        """Wait a moment for ``amount``; return whether it is set aside."""
+        """Wait briefly for ``amount``; return whether it is reserved."""
         account = manager.account(team)
         with suppress(TimeoutError):
             async with timeout(FALLBACK_SECONDS):
@@ -338,10 +342,11 @@
         return False
 
     def on_request(self, team: str, asked: TokenRequest) -> int:
-        """Return what this entry hands over to one that asks.
+        """Return how many tokens this entry transfers to one that requests them.
 
-        A home hands over all or nothing: parts of a call's budget would lie with
-        several entries, of use to none. If it has too little it raises its mark.
+        A home transfers all or nothing: parts of a call's budget that are spread over
+        several entries are of no use to any of them. If it has too little it raises its
+        quota.
         """
         is_home = self.is_home_of(team)
         amount = self.transferable(team, asked)
@@ -352,7 +357,7 @@
         return amount
 
     def record_request(self, team: str, amount: int) -> None:
-        """Raise this home's mark by what others lack."""
+        """Raise this home's quota by the amount that other entries lack."""
         manager = self.manager(team)
         manager.account(team).ask(amount, self.clock())
         manager.request_commit()
@@ -360,9 +365,10 @@
             manager.open_reserve()
 
     def transferable(self, team: str, asked: TokenRequest) -> int:
-        """Return how much of what is asked could be handed over now.
+        """Return how many of the requested tokens could be transferred now.
 
-        A home raises its mark for its own calls as for others, and keeps nothing back.
+        A home retains nothing for itself, as it raises its quota for its own calls and
+        for those of others alike.
         """
         account = self.manager(team).account(team)
         if self.is_home_of(team):
@@ -370,7 +376,7 @@
         return transferable_amount(account, asked, self.clock())
 
     def hand_over(self, team: str, amount: int) -> None:
-        """Count ``amount`` as spent: another entry has it now."""
+        """Count ``amount`` as spent, as another entry has it now."""
         account = self.manager(team).account(team)
         account.give(amount)
         if self.is_home_of(team):
@@ -378,7 +384,7 @@
         self._raise_before_empty(self.manager(team), team)
 
     def _raise_before_empty(self, manager: QuotaManager, team: str) -> None:
-        """Let a home raise its mark before it runs out, off the way of calls."""
+        """Let a home raise its quota before it runs out, without delaying calls."""
         if not self.is_home_of(team):
             return
         account = manager.account(team)
@@ -386,7 +392,7 @@
             manager.request_commit()
 
     def on_transfer(self, team: str, amount: int, giver: str) -> None:
-        """Take what the entry ``giver`` has handed over, which may be nothing."""
+        """Apply a transfer, possibly of no tokens, from the entry ``giver``."""
         manager = self.manager(team)
         if giver == self.budget_peers.home_of(self.part(team)):
             self.request_pacing[team].on_home_answer(self.clock(), bool(amount))
@@ -398,13 +404,14 @@
         manager.notify_waiters()
 
     def on_remaining(self, team: str, remaining: RemainingBudget) -> None:
-        """Take what the home says is left of a budget."""
+        """Record the remaining budget that the home reported."""
         self.reported[team] = RemainingReport(self.clock(), remaining)
 
     def remaining(self, team: str) -> RemainingBudget | None:
-        """Return what is left of a budget, none if the store was not read lately.
+        """Return the remaining budget, or None if the store was not read recently.
 
-        It is worked out once for all that ask within some milliseconds.
+        The result is cached for some milliseconds, for all requests that arrive
+        meanwhile.
         """
         known = self.remaining_cache.get(team)
         now = self.clock()
@@ -421,7 +428,7 @@
         return remaining
 
     def _return_surplus(self, manager: QuotaManager, team: str) -> None:
-        """Give the home what is left of calls that have ended."""
+        """Return tokens left over from ended calls to the home."""
         home = self.budget_peers.home_of(self.part(team))
         if home is None:
             return
@@ -434,11 +441,11 @@
             account.give(surplus)
 
     def is_home_of(self, team: str) -> bool:
-        """Tell whether this entry is the home of a team's budget."""
+        """Return whether this entry is the home of a team's budget."""
         return self._is_home(self.part(team))
 
     def settle(self, reservation: Reservation, spent: int) -> None:
-        """Give back what a call did not use."""
+        """Release the tokens that a call did not use."""
         if reservation.amount == 0:
             return
         manager = self.manager(reservation.team)
@@ -450,12 +457,12 @@
             self._return_surplus(manager, reservation.team)
 
     def close(self) -> None:
-        """Keep no more than calls in progress need: no other will come."""
+        """Keep only what calls in progress need; no further calls will arrive."""
         for manager in self.managers:
             manager.close()
 
     async def release(self, within: float) -> None:
-        """Give back what is not used, within some seconds: the process ends."""
+        """Return all unused tokens within some seconds, as the process is ending."""
         self.close()
         with suppress(TimeoutError):
             async with timeout(within):
