--- a/libs/relay/src/clementinebend_relay/request_pacing.py
+++ b/libs/relay/src/clementinebend_relay/request_pacing.py
@@ -1,37 +1,36 @@
-"""When other entries were asked for parts of one team's budget. Pure.
+"""Limits how often other entries are asked for tokens of one team's budget. Pure.
 
-Calls that wait for the same budget share their questions: with 30 entries and a
-budget that is spent, a question of each call to each entry in each 30 ms would
-cost more than all else that the entries do.
+Calls that wait for the same budget share their requests: with 30 entries and an
+exhausted budget, a request of each call to each entry every 30 ms would cost more than
+everything else that the entries do.
 """
 
 HOME_REQUEST_INTERVAL = 0.03
-"""Seconds between questions to the home, which answers in some 5 ms; also how
-long it may take to answer."""
+"""Seconds between requests to the home, which answers in some 5 ms; also its time limit
+for an answer."""
 
 EMPTY_ANSWER_SECONDS = 0.08
-"""Seconds after an empty answer in which the home is not asked again: it remembers the
-question somewhat longer. Repeated by many entries, questions would take up all the
+"""Seconds after an empty answer during which the home is not asked again: it remembers
+the request somewhat longer. Repeated by many entries, requests would use up the
 processor of a small home, and calls would be refused meanwhile."""
 
 HOME_GONE_SECONDS = 0.1
-"""Seconds of silence after which an entry raises a mark of its own: three questions.
-A home that is held up for one question lives; marks raised too early make many
-entries race with it for the log's end, and calls are refused meanwhile."""
+"""Seconds without an answer, or three requests, after which an entry raises a quota of
+its own. A home that is late for one request is alive; quotas raised too early make many
+entries compete with it for the log's end, and calls are refused meanwhile."""
 
 ALL_REQUEST_INTERVAL = 0.15
-"""Seconds between questions to all entries: what they can spare changes as calls
-end, some hundred milliseconds after they began."""
+"""Seconds between requests to all entries. What they can spare changes as calls end,
+some hundred milliseconds after they began."""
 
 UNANSWERED_EXPIRY_SECONDS = 0.2
-"""Seconds after which an answer that did not come says nothing of the home any
-more."""
+"""Seconds after which a missing answer no longer counts against the home."""
 
 NEVER = float("-inf")
 
 
 class RequestPacing:
-    """The questions for one team's budget; times on the steady clock."""
+    """The requests for one team's budget; times are on the monotonic clock."""
 
     def __init__(self) -> None:
         self.home_asked_at = NEVER
@@ -40,7 +39,7 @@
         self.home_paused_until = NEVER
 
     def may_ask_home(self, now: float) -> bool:
-        """Tell whether the home may be asked, and take it as asked."""
+        """Return whether the home may be asked, and if so record the request."""
         since = now - self.home_asked_at
         if since < HOME_REQUEST_INTERVAL or now < self.home_paused_until:
             return False
@@ -50,27 +49,27 @@
         return True
 
     def may_ask_all(self, now: float) -> bool:
-        """Tell whether all may be asked, and take them as asked."""
+        """Return whether all entries may be asked, and if so record the request."""
         if now - self.all_asked_at < ALL_REQUEST_INTERVAL:
             return False
         self.all_asked_at = now
         return True
 
     def on_home_answer(self, now: float, is_met: bool) -> None:
-        """Note that the home has answered, and whether it handed over something.
+        """Record an answer of the home and whether it transferred anything.
 
-        If not, it hands over as soon as it can, and need not be asked meanwhile.
+        If not, it transfers tokens as soon as it can, and need not be asked meanwhile.
         """
         self.unanswered_since = None
         if not is_met:
             self.home_paused_until = now + EMPTY_ANSWER_SECONDS
 
     def is_home_silent(self, now: float) -> bool:
-        """Tell whether the home has left a question without an answer."""
+        """Return whether the home has left a request unanswered."""
         return self._silent_for(now) >= HOME_REQUEST_INTERVAL
 
     def is_home_gone(self, now: float) -> bool:
-        """Tell whether the home has been silent for so long that it may be gone."""
+        """Return whether the home has not answered for so long that it may be down."""
         return self._silent_for(now) >= HOME_GONE_SECONDS
 
     def _silent_for(self, now: float) -> float:
