--- a/libs/relay/src/clementinebend_relay/witness.py
+++ b/libs/relay/src/clementinebend_relay/witness.py
@@ -1,4 +1,4 @@
-"""Each entry is a witness of others: it remembers whose reserves were opened."""
+"""The witness role of an entry: it remembers which holders opened their reserves."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 class WitnessServer:
-    """Answers other entries' questions from the memory of this boot."""
+    """Answers the requests of other entries from the memory of this boot."""
 
     def __init__(self, boot: str, send: Callable[[Message, Address], None]) -> None:
         self.boot = boot
@@ -22,7 +22,7 @@
         self.state = WitnessState()
 
     def on_open(self, message: OpenMessage, sender: Address) -> None:
-        """Let a holder open its reserve, unless that was ruled out before."""
+        """Let a holder open its reserve, unless the reserve has been fenced."""
         if message.witness != self.boot:
             return
         before = self.state.known(message.holder)
@@ -32,7 +32,7 @@
         self._answer(message.holder, attestation, sender)
 
     def on_fence(self, message: FenceMessage, sender: Address) -> None:
-        """Rule out that a holder opens its reserve, unless it has."""
+        """Fence a holder's reserve, unless the holder has opened it."""
         if message.witness != self.boot:
             return
         before = self.state.known(message.holder)
