--- a/libs/relay/src/clementinebend_relay/witnesses.py
+++ b/libs/relay/src/clementinebend_relay/witnesses.py
@@ -1,4 +1,4 @@
-"""The witnesses of this entry's marks, as the entry sees them."""
+"""The witnesses of this entry's quotas: selection, liveness and attestations."""
 
 from asyncio import sleep
 from collections.abc import Callable, Iterable
@@ -16,17 +16,17 @@
 from clementinebend_transport.client_connection import Address
 
 PING_INTERVAL = 0.5
-"""Seconds between questions whether a witness is there."""
+"""Seconds between liveness checks of witnesses."""
 
 LIVE_SECONDS = 1.8
-"""How long a witness counts as there after its last answer: three questions,
-so that one lost datagram changes nothing."""
+"""Seconds for which a witness counts as live after its last answer: three checks, so
+that one lost datagram has no effect."""
 
 Send = Callable[[Message, Address], None]
 
 
 class Witnesses:
-    """Chooses witnesses, asks them, and keeps what they attested."""
+    """Chooses witnesses, sends them requests and stores what they attest."""
 
     def __init__(
         self,
@@ -45,13 +45,14 @@
         self.attestations: dict[str, dict[str, Attestation]] = {}
         self.on_attestation: list[Callable[[str], None]] = []
         self.is_needed: Callable[[], bool] = lambda: True
-        """Tells whether this entry may have reserves: others need no witnesses."""
+        """Returns whether this entry may have reserves; other entries need no
+        witnesses."""
 
     def choose(self, current: tuple[Witness, ...]) -> tuple[Witness, ...]:
-        """Return this entry's witnesses; those in ``current`` stay while they live.
+        """Return this entry's witnesses; those in ``current`` stay while they are live.
 
-        They are in different availability zones, not in this entry's, as far
-        as there are such.
+        They are in different availability zones, none of them this entry's own, as far
+        as live witnesses allow.
         """
         live = [item for item in self._ranked() if self._is_live(item.boot)]
         boots = {item.boot for item in live}
@@ -71,23 +72,23 @@
         return tuple(kept)
 
     def of(self, holder: str) -> dict[str, Attestation]:
-        """Return what witnesses attested of a holder, by their boot."""
+        """Return what witnesses have attested of a holder, by the witness's boot."""
         return self.attestations.get(holder, {})
 
     def open(self, holder: str, record: HolderRecord) -> None:
-        """Ask the witnesses of a record to let its reserve be opened."""
+        """Ask the witnesses of a record for permission to open its reserve."""
         for witness in record.witnesses:
             message = OpenMessage(witness.boot, holder, record.epoch)
             self.send(message, Address(witness.host, witness.port))
 
     def fence(self, holder: str, record: HolderRecord) -> None:
-        """Ask the witnesses of a record never to let its reserve be opened."""
+        """Ask the witnesses of a record to refuse opening its reserve from now on."""
         for witness in record.witnesses:
             message = FenceMessage(witness.boot, holder, record.epoch)
             self.send(message, Address(witness.host, witness.port))
 
     def on_answer(self, message: AttestationMessage) -> None:
-        """Take what a witness attests."""
+        """Record the attestation of a witness."""
         self.heard[message.witness] = self.clock()
         if message.attestation == Attestation():
             return
@@ -98,7 +99,7 @@
             listener(message.holder)
 
     async def run(self) -> None:
-        """Ask for ever whether witnesses are there."""
+        """Check the liveness of witnesses until cancelled."""
         while True:
             for item in self._pinged() if self.is_needed() else ():
                 ping = FenceMessage(item.boot, self.boot, NO_EPOCH)
@@ -106,14 +107,14 @@
             await sleep(PING_INTERVAL)
 
     def _ranked(self) -> list[Announcement]:
-        """Return the announced witnesses in this entry's own order."""
+        """Return the announced witnesses in this entry's own ranking."""
         announced = self.directory.announcements
         order = rendezvous(self.boot, announced, len(announced))
         ranked = [announced[name] for name in order]
         return [item for item in ranked if item.boot != self.boot]
 
     def _pinged(self) -> Iterable[Announcement]:
-        """Return whom to ask: the first few, until enough of them answer."""
+        """Yield the first witnesses in the ranking until enough of them are live."""
         live = 0
         for item in self._ranked():
             yield item
