--- a/libs/relay/src/clementinebend_relay/budget_peers.py
+++ b/libs/relay/src/clementinebend_relay/budget_peers.py
@@ -1,4 +1,4 @@
-"""The other entries, as far as budgets need them."""
+"""The interface through which budgets reach the other entries."""
 
 from typing import Protocol
 
@@ -6,53 +6,53 @@
 
 
 class BudgetPeers(Protocol):
-    """The other entries, as far as budgets need them."""
+    """Operations on the other entries that budgets need."""
 
     def home_of(self, part: int) -> str | None:
-        """Return which other entry is home of a partition; none if it is us."""
+        """Return the other entry that is a partition's home, or None if this one is."""
         ...
 
     def is_heard(self, boot: str) -> bool:
-        """Tell whether a boot of another entry was heard a moment ago."""
+        """Return whether a boot of another entry was heard recently."""
         ...
 
     def ask(self, entry: str, team: str, asked: TokenRequest) -> None:
-        """Ask an entry for tokens of a team's budget."""
+        """Request tokens of a team's budget from an entry."""
         ...
 
     def ask_others(self, team: str, asked: TokenRequest) -> None:
-        """Ask some other entries."""
+        """Request tokens of a team's budget from some other entries."""
         ...
 
     def give_back(self, entry: str, team: str, amount: int) -> bool:
-        """Hand tokens to an entry; return whether it is known."""
+        """Transfer tokens to an entry; return whether the entry is known."""
         ...
 
     def serve_unmet(self, part: int) -> None:
-        """Hand over what was asked for and is there now."""
+        """Answer earlier requests with tokens that are available now."""
         ...
 
 
 class NoPeers:
-    """Neighbours of an entry that knows of no other."""
+    """Implements ``BudgetPeers`` for an entry that knows no other."""
 
     def home_of(self, part: int) -> str | None:
-        """Return that this entry is the home of all."""
+        """Return None: this entry is the home of all partitions."""
         return None
 
     def is_heard(self, boot: str) -> bool:
-        """Return that nobody was heard."""
+        """Return False: no other entry is known."""
         return False
 
     def ask(self, entry: str, team: str, asked: TokenRequest) -> None:
-        """Ask nobody."""
+        """Do nothing, as no other entry is known."""
 
     def ask_others(self, team: str, asked: TokenRequest) -> None:
-        """Ask nobody."""
+        """Do nothing, as no other entry is known."""
 
     def give_back(self, entry: str, team: str, amount: int) -> bool:
-        """Return that nobody is there."""
+        """Return False: no other entry is known."""
         return False
 
     def serve_unmet(self, part: int) -> None:
-        """Nobody has asked."""
+        """Do nothing, as no other entry has requested anything."""
