--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -1,4 +1,4 @@
-"""Other entries: who of them lives, and parts of budgets handed over."""
+"""Other entries: their liveness, and transfers of budget tokens between entries."""
 
 from asyncio import sleep
 from collections.abc import Callable, Iterable
@@ -22,26 +22,27 @@
 from clementinebend_transport.client_connection import Address
 
 HEARD_SECONDS = 3.0
-"""How long a peer counts as there after its last message: homes hear of each entry
-that has calls more often."""
+"""Seconds for which a peer counts as live after its last message. Homes hear more often
+from each entry that has calls."""
 
 MAX_PEERS_ASKED = 8
-"""Entries asked at once for a part of a budget while its home is silent: each call
-waits for them, and in a fleet of hundreds asking all would cost more than the calls."""
+"""Maximum number of entries asked at once for tokens while the home does not answer.
+Each call waits for them, and asking all entries of a fleet of hundreds would cost more
+than the calls."""
 
 UNMET_SECONDS = 0.1
-"""How long a home remembers that an entry lacks a part: the caller waits hardly
-longer, and the entry asks again meanwhile."""
+"""Seconds for which a home remembers an unmet request: the caller hardly waits longer,
+and the entry asks again meanwhile."""
 
 MAX_UNMET_REQUESTS = 1_000
-"""Entries that are remembered to lack a part of one budget."""
+"""Maximum number of entries whose unmet requests are kept for one budget."""
 
 Send = Callable[[Message, Address], None]
 SendAll = Callable[[Message, Iterable[Address]], None]
 
 
 class UnmetRequest(NamedTuple):
-    """What an entry has asked a home for, and not got, at some time."""
+    """A request that a home could not meet, its sender and when it arrived."""
 
     at: float
     message: TokenRequestMessage
@@ -49,7 +50,7 @@
 
 
 class Peers:
-    """Knows the homes of budgets, and shares budgets with the other entries."""
+    """Tracks the homes of budgets and shares budgets with the other entries."""
 
     def __init__(
         self,
@@ -75,12 +76,12 @@
         budgets.attach(self)
 
     def entry_count(self) -> int:
-        """Return how many entries there are, this one included."""
+        """Return the number of entries, including this one."""
         announced = self.directory.announcements
         return len(announced) + (self.name not in announced)
 
     async def watch(self) -> None:
-        """Ask for ever whether those live that this entry may have to replace."""
+        """Check repeatedly the liveness of entries that this one may replace."""
         while True:
             self._check_liveness(self.homes.watched())
             self._drop_silent()
@@ -92,43 +93,43 @@
             self.send(FenceMessage(item.boot, self.boot, NO_EPOCH), item.address)
 
     def resign(self) -> None:
-        """Be no home any more, as this entry is stopping, and say so to all.
+        """Stop being a home, as this entry is stopping, and notify all other entries.
 
-        The next home then has the time of the stop to take over, and this entry
-        to give back its marks, also while the store is slow.
+        The next home then has the duration of the stop to take over, and this entry to
+        return its quotas, even while the store is slow.
         """
         self.homes.resign()
         addresses = map(self._address, self._others())
         self.send_all(LeavingMessage(self.boot), addresses)
 
     def on_leaving(self, message: LeavingMessage) -> None:
-        """Take an entry that is stopping for no home any more."""
+        """Exclude an entry that is stopping from being a home."""
         self.on_heard(message.boot)
         self.homes.on_leaving(message.boot)
 
     def on_heard(self, boot: str) -> None:
-        """Note that a boot of another entry has sent something."""
+        """Record that a boot of another entry has sent a message."""
         self.heard_at[boot] = self.clock()
         self.homes.on_heard(boot)
 
     def home_of(self, part: int) -> str | None:
-        """Return which other entry is home of a partition; none if it is us."""
+        """Return the other entry that is a partition's home, or None if this one is."""
         return self.homes.home_of(part)
 
     def is_heard(self, boot: str) -> bool:
-        """Tell whether a boot of another entry was heard a moment ago."""
+        """Return whether a boot of another entry was heard recently."""
         at = self.heard_at.get(boot)
         return at is not None and self.clock() - at < HEARD_SECONDS
 
     def ask(self, entry: str, team: str, asked: TokenRequest) -> None:
-        """Ask an entry for tokens of a team's budget."""
+        """Request tokens of a team's budget from an entry."""
         peer = self.directory.announcements.get(entry)
         if peer is not None:
             self.homes.on_asked(peer.boot)
             self.send(TokenRequestMessage(self.boot, team, asked), peer.address)
 
     def ask_others(self, team: str, asked: TokenRequest) -> None:
-        """Ask some other entries for tokens of a team's budget."""
+        """Request tokens of a team's budget from some other entries."""
         others = self._others()
         some = sample(others, min(MAX_PEERS_ASKED, len(others)))
         self.send_all(
@@ -136,9 +137,9 @@
         )
 
     def give_back(self, entry: str, team: str, amount: int) -> bool:
-        """Hand ``amount`` of a team's budget to an entry; return whether it is known.
+        """Transfer ``amount`` of a budget to an entry; return whether it is known.
 
-        The caller then counts it as spent.
+        The caller then counts the amount as spent.
         """
         peer = self.directory.announcements.get(entry)
         if peer is None:
@@ -149,7 +150,7 @@
         return True
 
     def on_request(self, message: TokenRequestMessage, sender: Address) -> None:
-        """Hand over what can be spared, and say what the home knows."""
+        """Transfer what can be spared and, as home, report the remaining budget."""
         self.on_heard(message.boot)
         self._check_liveness(
             self.homes.on_request_as_home(self.budgets.part(message.team))
@@ -160,10 +161,10 @@
         self._answer(message, sender, amount)
 
     def serve_unmet(self, part: int) -> None:
-        """Hand over what was asked for a moment ago, now that there may be more.
+        """Answer recent unmet requests, now that more tokens may be available.
 
-        An asker gets it some 6 ms after its question, as the store has answered,
-        instead of with its next question after 30 ms.
+        The requester gets its tokens some 6 ms after its request, once the store has
+        answered, instead of with its next request after 30 ms.
         """
         for team in [team for team in self.unmet if self.budgets.part(team) == part]:
             for unmet in self._unmet_of(team):
@@ -175,7 +176,7 @@
                 self._answer(unmet.message, unmet.sender, asked.amount)
 
     def _record_unmet(self, message: TokenRequestMessage, sender: Address) -> None:
-        """Remember what an entry lacks, so that the mark is raised for all of it."""
+        """Record an unmet request, and raise the quota for all that are unmet."""
         by_boot = self.unmet.setdefault(message.team, {})
         by_boot.pop(message.boot, None)
         by_boot[message.boot] = UnmetRequest(self.clock(), message, sender)
@@ -185,7 +186,7 @@
         self.budgets.record_request(message.team, sum(lacking))
 
     def _unmet_of(self, team: str) -> list[UnmetRequest]:
-        """Return what entries lack of a team's budget, and forget what is too old."""
+        """Return the recent unmet requests for a team's budget, and drop older ones."""
         oldest = self.clock() - UNMET_SECONDS
         recent = {
             boot: unmet
@@ -211,7 +212,7 @@
         self.send(transfer_message, sender)
 
     def on_transfer(self, message: TransferMessage) -> None:
-        """Take what another entry has handed over, and only if it is to this boot."""
+        """Apply a transfer of another entry if it is addressed to this boot."""
         if message.to != self.boot:
             return
         self.on_heard(message.boot)
