--- a/libs/relay/src/clementinebend_relay/messages.py
+++ b/libs/relay/src/clementinebend_relay/messages.py
@@ -1,7 +1,7 @@
 """Datagrams between entries, and to the processes that keep endpoints' queues.
 
 A lost datagram costs balance, a part of a budget until its holder ends, or a
-repetition; nothing that must hold depends on one.
+retransmission; correctness never depends on delivery.
 """
 
 from typing import Any, NamedTuple
@@ -18,13 +18,13 @@
 
 
 class LeavingMessage(Struct, tag="leaving", array_like=True):
-    """The entry of a boot is stopping."""
+    """An entry is stopping; ``boot`` identifies it."""
 
     boot: str
 
 
 class ProbeMessage(Struct, tag="probe", array_like=True):
-    """An entry asks what a call would meet at an endpoint; the answer names ``number``.
+    """Asks what a call would find at an endpoint; the answer repeats ``number``.
 
     ``endpoint`` names one boot of it. With a ``permit_limit`` the entry also requests a
     permit to send the call.
@@ -38,7 +38,7 @@
 
 
 class ReportMessage(Struct, tag="report", array_like=True):
-    """What a call would meet, and the boot of the process that keeps the queue."""
+    """What a call would find at an endpoint, and the boot of the queue's process."""
 
     boot: str
     number: int
@@ -46,7 +46,7 @@
 
 
 class SentMessage(Struct, tag="sent", array_like=True):
-    """A call is sent to an endpoint, which has ``tokens`` of its prompt to read."""
+    """A call was sent to an endpoint, which has ``tokens`` of its prompt to process."""
 
     endpoint: str
     request: str
@@ -56,7 +56,7 @@
 
 
 class ReadMessage(Struct, tag="read", array_like=True):
-    """The first token of a call has come."""
+    """The first token of a call was received."""
 
     endpoint: str
     request: str
@@ -70,7 +70,7 @@
 
 
 class TokenRequestMessage(Struct, tag="ask", array_like=True):
-    """An entry lacks tokens of a team's budget."""
+    """An entry requests tokens of a team's budget."""
 
     boot: str
     team: str
@@ -78,10 +78,10 @@
 
 
 class RemainingBudget(NamedTuple):
-    """What a home knows of a budget that has too little left.
+    """The remaining budget that a home reports if too little is left.
 
-    ``left`` is what is left for live holders, ``uncertain`` what holders that ended
-    may have spent or not.
+    ``left`` is what is left for live holders, ``uncertain`` what ended holders may or
+    may not have spent.
     """
 
     left: int
@@ -89,10 +89,10 @@
 
 
 class TransferMessage(Struct, tag="gift", array_like=True):
-    """Tokens handed to the entry ``to``, in all, and what a home knows beside them.
+    """The total transferred to the entry ``to``, and what a home reports with it.
 
-    ``answer_seconds`` is the current answer time of the store as seen by the home, 0
-    if the sender is not the home.
+    ``answer_seconds`` is the current answer time of the store as seen by the home, 0 if
+    the sender is not the home.
     """
 
     boot: str
@@ -105,7 +105,7 @@
 
 
 class OpenMessage(Struct, tag="open", array_like=True):
-    """A holder asks a witness to let it open its reserve."""
+    """A holder asks a witness for permission to open its reserve."""
 
     witness: str
     holder: str
@@ -113,7 +113,7 @@
 
 
 class FenceMessage(Struct, tag="fence", array_like=True):
-    """Somebody asks a witness never to let a holder open its reserve."""
+    """Asks a witness to refuse opening a holder's reserve from now on."""
 
     witness: str
     holder: str
@@ -121,7 +121,7 @@
 
 
 class AttestationMessage(Struct, tag="attestation", array_like=True):
-    """What a witness remembers of a holder, after what it was asked."""
+    """What a witness has recorded of a holder, after handling a request."""
 
     witness: str
     holder: str
@@ -129,7 +129,7 @@
 
 
 class EndpointLeavingMessage(Struct, tag="endpoint-leaving", array_like=True):
-    """One boot of an endpoint has told an entry that it leaves."""
+    """One boot of an endpoint has told an entry that it is leaving."""
 
     boot: str
     endpoint: str
@@ -155,7 +155,7 @@
 
 
 class EndpointEndedMessage(Struct, tag="endpoint-ended", array_like=True):
-    """One boot of an endpoint ended under an entry's calls; ages are in seconds."""
+    """One boot of an endpoint ended during an entry's calls; ages are in seconds."""
 
     boot: str
     endpoint: str
@@ -164,7 +164,7 @@
 
 
 class QuarantineMessage(Struct, tag="quarantine", array_like=True):
-    """A request is to be kept from endpoints; ``endpoints`` are boots that it ended."""
+    """Quarantines a request; ``endpoints`` are the boots that ended running it."""
 
     boot: str
     fingerprint: str
@@ -172,17 +172,17 @@
 
 
 class SoundMessage(Struct, tag="sound", array_like=True):
-    """A request ran well: nothing is held against it."""
+    """A request ran well and is no longer suspected."""
 
     boot: str
     fingerprint: str
 
 
 FatalityMessage = EndpointEndedMessage | QuarantineMessage | SoundMessage
-"""What entries tell one another of requests under which endpoints end."""
+"""Messages about requests during which endpoints ended."""
 
 QueueMessage = ProbeMessage | SentMessage | ReadMessage | EndedMessage
-"""What the process that keeps an endpoint's queue is told and asked."""
+"""Messages to the process that keeps an endpoint's queue."""
 
 Message = (
     LeavingMessage
@@ -205,7 +205,7 @@
 
 
 class InvalidMessage(NamedTuple):
-    """A datagram that is none of these messages."""
+    """A datagram that cannot be decoded as a message."""
 
     problem: str
 
@@ -215,12 +215,12 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the bytes of a message."""
+    """Return the encoding of a message."""
     return _encoder.encode(message)
 
 
 def decode_message(data: bytes) -> Message | InvalidMessage:
-    """Return the message in a datagram."""
+    """Return the message in a datagram, or why it cannot be decoded."""
     try:
         message: Message = _decoder.decode(data)
     except (DecodeError, ValidationError) as error:
