--- a/libs/ledger/src/clementinebend_ledger/quota_account.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_account.py
@@ -1,9 +1,9 @@
-"""What one holder does with its marks: reservations, settlement and rate.
+"""A holder's use of its quotas: reservations, settlement and request rates.
 
-``spent`` also counts what was handed to other holders, and less what they
-handed over; summed over all holders it is what was spent.
+``spent`` also includes what was transferred to other holders, less what was received
+from them; summed over all holders it is the amount spent.
 
-Amounts are in tokens, times in seconds on the steady clock.
+Amounts are in tokens, times in seconds on the monotonic clock.
 """
 
 from math import exp
@@ -12,23 +12,23 @@
 """Time constant of the rate that follows a sudden demand."""
 
 SLOW_RATE_SECONDS = 8.0
-"""Time constant of the rate that remembers demand over a lull."""
+"""Time constant of the rate that persists over a lull in demand."""
 
 SHARE_WEIGHT = 0.05
-"""Weight of one call in the average part of its reservation that is spent."""
+"""Weight of one call in the average fraction of a reservation that is spent."""
 
 REQUEST_SECONDS = 0.5
-"""How long a part is kept ready for another holder that asked: some repeats of
-its question."""
+"""Seconds for which an amount that another holder requested is kept available: a few
+repetitions of the request."""
 
 LARGEST_DECAY = 0.98
-"""Part of the largest reservation seen that is kept with each new one."""
+"""Factor by which the largest reservation seen decays with each new one."""
 
 
 class QuotaAccount:
-    """One team's budget in this holder's hands; owned by one task.
+    """One team's budget as held by this holder; owned by one task.
 
-    ``limit`` is what may be spent whatever has become of records on their way.
+    ``limit`` is what may be spent whatever the outcome of pending appends.
     """
 
     def __init__(self, now: float) -> None:
@@ -46,16 +46,16 @@
 
     @property
     def used(self) -> int:
-        """What is spent or may still be, by requests in progress."""
+        """Tokens that are spent or reserved by calls in progress."""
         return self.spent + self.reserved
 
     @property
     def free(self) -> int:
-        """What a new reservation may take."""
+        """Tokens available for a new reservation."""
         return self.limit - self.used
 
     def rate(self, now: float) -> float:
-        """Return the tokens per second that callers ask for here."""
+        """Return the tokens per second that callers request at this holder."""
         self._decay(now)
         return self.slow_rate
 
@@ -65,14 +65,14 @@
         return max(self.fast_rate, self.slow_rate)
 
     def reserve(self, amount: int) -> bool:
-        """Set ``amount`` aside if it is free; return whether it was."""
+        """Reserve ``amount`` if that much is free; return whether it was."""
         if amount > self.free:
             return False
         self.reserved += amount
         return True
 
     def record_demand(self, amount: int, now: float) -> None:
-        """Count a call that may cost ``amount``, whether it is admitted or not."""
+        """Record a call that may cost ``amount``, whether or not it is admitted."""
         self.largest = max(self.largest * LARGEST_DECAY, amount)
         self._decay(now)
         expected = amount * self.spent_share
@@ -80,7 +80,7 @@
         self.slow_rate += expected / SLOW_RATE_SECONDS
 
     def record_lending(self, amount: int, now: float) -> None:
-        """Count what others ask a home for as demand for its budget."""
+        """Record tokens that a home lent to others as demand for its budget."""
         self._decay(now)
         self.fast_rate += amount / FAST_RATE_SECONDS
         self.slow_rate += amount / SLOW_RATE_SECONDS
@@ -92,24 +92,24 @@
         self.slow_rate = max(self.slow_rate, rate)
 
     def ask(self, amount: int, now: float) -> None:
-        """Note that another holder asks for a part, for a short time."""
+        """Record for a short time that other holders request ``amount``."""
         self.requested = amount
         self.request_expires_at = now + REQUEST_SECONDS
 
     def requested_now(self, now: float) -> int:
-        """Return what others have asked for a moment ago."""
+        """Return the amount that others have requested recently."""
         return self.requested if now < self.request_expires_at else 0
 
     def give(self, amount: int) -> None:
-        """Hand a free part to another holder: for this one it is spent."""
+        """Count free tokens transferred to another holder as spent."""
         self.spent += amount
 
     def take(self, amount: int) -> None:
-        """Take a part that another holder has handed over."""
+        """Add tokens that another holder has transferred."""
         self.spent -= amount
 
     def settle(self, reserved: int, spent: int) -> None:
-        """End a reservation: ``spent`` of it, at most all, was used."""
+        """End a reservation of which ``spent``, or all if that is less, was used."""
         amount = min(spent, reserved)
         self.reserved -= reserved
         self.spent += amount
