--- a/libs/ledger/src/clementinebend_ledger/quota_requests.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_requests.py
@@ -1,7 +1,7 @@
-"""What one holder hands to another, without the store. Pure.
+"""Requests for tokens between holders, without the store. Pure.
 
-The giver counts a part as spent before the message leaves, so a lost message
-loses tokens and never doubles them.
+The giver counts tokens as spent before it sends its message, so a lost message loses
+tokens and never duplicates them.
 """
 
 from typing import NamedTuple
@@ -9,30 +9,30 @@
 from clementinebend_ledger.quota_account import QuotaAccount
 
 RETAINED_SECONDS = 0.05
-"""Seconds of its own demand that a holder keeps when it is asked."""
+"""Seconds of its own demand that a holder retains when others request tokens."""
 
 MAX_TRANSFER_SHARE = 0.9
-"""Largest part of what it could spare that a holder gives at one time."""
+"""Maximum fraction of its spare tokens that a holder transfers at one time."""
 
 EXTRA_REQUEST_SECONDS = 0.5
-"""Seconds of demand that a holder asks for beside the call at hand."""
+"""Seconds of demand that a holder requests in addition to the current call."""
 
 
 class TokenRequest(NamedTuple):
-    """What to ask for, in tokens."""
+    """The number of tokens requested."""
 
     amount: int
 
 
 def token_request(account: QuotaAccount, least: int, now: float) -> TokenRequest:
-    """Return what a holder that lacks ``least`` tokens should ask for."""
+    """Return the request of a holder that lacks ``least`` tokens."""
     return TokenRequest(least + int(EXTRA_REQUEST_SECONDS * account.rate(now)))
 
 
 def transferable_amount(account: QuotaAccount, asked: TokenRequest, now: float) -> int:
-    """Return what this holder hands over.
+    """Return how many of the requested tokens this holder can transfer.
 
-    A part too small for the call at hand is of use, too: several holders are
+    An amount too small for the requester's call is useful too, as several holders are
     asked at once.
     """
     spare = account.free - int(RETAINED_SECONDS * account.rate(now)) - account.waiting
