--- a/libs/ledger/src/clementinebend_ledger/quota_sizing.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_sizing.py
@@ -1,9 +1,9 @@
-"""How large a holder's mark should be.
+"""Computes how large a holder's quota should be.
 
-Each budget has one home among the entries that live. The home keeps a mark for
-all of them, and the others borrow from it in one round trip; they write marks
-of their own only when the home does not answer. A large mark lasts through an
-outage of the log, and is lost if its holder dies having opened the reserve.
+Each budget has one home among the live entries. The home has a quota for all of them,
+and the others borrow from it in one round trip; they write quotas of their own only
+when the home does not answer. A large quota outlasts an outage of the log, and is lost
+if its holder dies with the reserve open.
 """
 
 from collections.abc import Mapping
@@ -13,50 +13,51 @@
 from clementinebend_ledger.quotas import Quota
 
 HORIZON_SECONDS = 3.0
-"""Seconds of demand kept at hand for outages of the log itself, of some 4 s; a
-host that is cut off alone reaches it through a gateway."""
+"""Seconds of demand reserved for outages of the log itself, of some 4 s; a host that
+alone has lost its connection reaches the log through a gateway."""
 
 MAX_BUDGET_FRACTION = 0.0125
-"""Largest part of a whole budget that is kept at hand. What is lost beyond the 3 %
-of slack that a budget has is refused to its team for good, so the loss of all
-holders must stay within it."""
+"""Maximum fraction of a whole budget kept in reserve. Losses beyond the 3 % of slack
+that a budget has are refused to its team for good, so the loss of all holders must stay
+within it."""
 
 MAX_RESERVE_FRACTION = 0.2
-"""Largest part of what is left of a budget that is kept at hand: what is lost
-if all holders lose power at once is then never most of what is left."""
+"""Maximum fraction of the remaining budget kept in reserve, so that a power loss of all
+holders never loses most of it."""
 
 UNWITNESSED_SECONDS = 0.25
-"""Seconds of demand that a home may spend without witnesses, beside those that
-an append takes, which count twice. This is what a dead holder leaves that
-nobody can prove unspent. It lasts while the store is held up for some 0.1 s by many
+"""Seconds of demand that a home may spend without witnesses, in addition to the demand
+during an append, which counts twice. This is what a dead holder leaves that nobody can
+prove unspent. It suffices while the store is delayed for some 0.1 s by many entries
 that read a new configuration; calls that need more wait for an append."""
 
 MAX_UNWITNESSED_SECONDS = 0.6
-"""The most seconds of demand that are spent without witnesses, however long an
-append takes: two appends to a store at its slowest."""
+"""Maximum seconds of demand spent without witnesses, however long an append takes: two
+appends to a store at its slowest."""
 
 BORROW_SECONDS = 0.1
-"""Seconds of its own demand that an entry borrows from a home ahead of calls.
-What a call lacks it borrows in one round trip of a few milliseconds."""
+"""Seconds of its own demand that an entry borrows from a home ahead of calls. If a call
+lacks tokens, it borrows them in one round trip of a few milliseconds."""
 
 UNWITNESSED_CALL_FRACTION = 0.1
-"""Part of the largest call that a home may spend at once beside the demand."""
+"""Fraction of the largest call that a home may spend without witnesses, in addition to
+the demand."""
 
 RETAINED_CALLS = 1.0
-"""Largest calls that a home keeps at hand beside the demand."""
+"""Number of largest calls that a home keeps in reserve, in addition to the demand."""
 
 INITIAL_FRACTION = 0.01
-"""Part of a budget that a home takes before it has seen any demand."""
+"""Fraction of a budget that a home takes before it has seen any demand."""
 
 MIN_RATE = 1.0
-"""Tokens per second that an idle holder counts with."""
+"""Minimum rate, in tokens per second, assumed for an idle holder."""
 
 
 class QuotaSize(NamedTuple):
-    """What sizing found out: what to write, and what nobody has spent.
+    """The quota to write, and what is left of the budget.
 
-    ``pool`` is what is left of the budget for all live holders together,
-    ``unspent`` also counts what dead holders may not have spent.
+    ``pool`` is what is left for all live holders together, ``unspent`` also includes
+    what dead holders may not have spent.
     """
 
     ceiling: int
@@ -75,11 +76,11 @@
     append_seconds: float,
     now: float,
 ) -> QuotaSize:
-    """Return the mark that this holder should have of a budget of ``prepaid``.
+    """Return the quota that this holder should have of a budget of ``prepaid``.
 
-    ``own`` is the one it has. The ceiling never exceeds what the marks of the
-    ``others`` leave, unless that much is already used. ``append_seconds`` is
-    how long an append takes at present.
+    ``own`` is its current quota. The ceiling never exceeds what the quotas of the
+    ``others`` leave, unless that much is already used. ``append_seconds`` is how long
+    an append currently takes.
     """
     lost = sum(quota.ceiling for name, quota in others.items() if name not in live)
     known = sum(quota.spent for name, quota in others.items() if name in live)
@@ -98,9 +99,9 @@
 
 
 def borrow_target(account: QuotaAccount, now: float) -> int:
-    """Return what an entry should have at hand of a budget it is not home of.
+    """Return how many tokens a borrower should have available ahead of calls.
 
-    Nothing if that would not do for a call: it would only lie there.
+    Returns 0 if the amount would not suffice for a call, as it would only lie idle.
     """
     tokens = int(BORROW_SECONDS * account.peak_rate(now))
     return tokens if tokens >= account.largest else 0
@@ -120,7 +121,7 @@
 def _home_size(
     account: QuotaAccount, pool: int, prepaid: int, append_seconds: float, now: float
 ) -> tuple[int, int]:
-    """Return what a home should have free, and what of it without witnesses."""
+    """Return what a home should have free, and how much of it without witnesses."""
     rate = max(MIN_RATE, account.rate(now))
     needed = unwitnessed_target(account, append_seconds, now)
     needed = max(needed + account.requested_now(now), account.waiting)
@@ -138,8 +139,8 @@
 ) -> tuple[int, int]:
     """Return the same for an entry that is not the home.
 
-    It keeps the mark it has, so that what it borrowed stays borrowed, gives
-    back what is far too much, and takes more only for calls that wait.
+    It keeps its current quota, so that what it borrowed stays borrowed, returns a large
+    surplus, and takes more only for waiting calls.
     """
     kept = borrow_target(account, now)
     free = own.ceiling - account.used
