--- a/libs/ledger/src/clementinebend_ledger/quota_transfers.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_transfers.py
@@ -1,9 +1,9 @@
-"""Parts of budgets handed from one holder to another, over a lossy network. Pure.
+"""Transfers of tokens between holders over a lossy network. Pure.
 
-A giver never says how much it hands over now, but how much it has handed over in all.
-So a message that is lost is made good by the next one, and one that comes twice or
-late changes nothing. The giver counts a part as spent before its message leaves:
-nothing is ever there twice.
+A giver never sends the amount of a single transfer but the total transferred so far. A
+lost message is thus made up for by the next one, and a repeated or late message has no
+effect. The giver counts tokens as spent before its message is sent, so none are ever
+counted at both ends.
 
 Amounts are in tokens.
 """
@@ -12,16 +12,16 @@
 from typing import NamedTuple
 
 MAX_PAIRS = 20_000
-"""Pairs of another holder and a team that are remembered each way, some 4 MB: those
-of a home that lends 50 busy budgets to 400 entries. A pair that is forgotten loses at
-most what was on its way."""
+"""Maximum number of pairs of another holder and a team that are kept in each direction,
+some 4 MB: those of a home that lends 50 busy budgets to 400 entries. A dropped pair
+loses at most the transfers in flight."""
 
 
 class Transfer(NamedTuple):
-    """What one holder has handed another of a team's budget in one ``series``.
+    """The total transferred by one holder to another of a team's budget in a series.
 
-    A giver's series never repeat, over all holders and teams; a later one of a pair
-    replaces an earlier one and starts at nothing.
+    The series numbers of a giver never repeat, over all holders and teams; a later
+    series of a pair replaces an earlier one and starts at 0.
     """
 
     series: int
@@ -29,14 +29,14 @@
 
 
 class PairKey(NamedTuple):
-    """The other holder of a pair, by its boot, and the team."""
+    """The boot of the other holder of a pair, and the team."""
 
     boot: str
     team: str
 
 
 class TransferBook:
-    """What one boot has handed to others, and what it has taken from them."""
+    """The totals that one boot has transferred to others and received from them."""
 
     def __init__(self, max_pairs: int = MAX_PAIRS) -> None:
         self.max_pairs = max_pairs
@@ -44,11 +44,12 @@
         self.given: OrderedDict[PairKey, Transfer] = OrderedDict()
         self.taken: OrderedDict[PairKey, Transfer] = OrderedDict()
         self.dropped_series: dict[str, int] = {}
-        """The newest series of each giver of which a pair was forgotten: no unknown
-        pair of it up to there is taken, as it may have been taken before."""
+        """The newest series of each giver of which a pair was dropped. Transfers of an
+        unknown pair up to that series are ignored, as they may have been received
+        before."""
 
     def hand_over(self, to: str, team: str, amount: int) -> Transfer:
-        """Hand ``amount`` more to a holder, and return what to tell it."""
+        """Add ``amount`` to the total for a holder, and return the transfer to send."""
         key = PairKey(to, team)
         known = self.given.get(key)
         if known is None:
@@ -62,7 +63,7 @@
         return transfer
 
     def take(self, giver: str, team: str, transfer: Transfer) -> int:
-        """Return how much of what ``giver`` told is new."""
+        """Return how much of the transfer from ``giver`` is new."""
         key = PairKey(giver, team)
         known = self.taken.get(key)
         if known is None and transfer.series <= self.dropped_series.get(giver, 0):
