--- a/libs/ledger/src/clementinebend_ledger/quota_witness.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_witness.py
@@ -1,8 +1,8 @@
-"""What a witness of marks decides: whether a reserve is opened or fenced. Pure.
+"""The decisions of a witness: whether a reserve may be opened or is fenced. Pure.
 
-For each holder a witness remembers the newest epoch that it let be opened and
-the newest that it fenced. An epoch is never both. All is lost when the witness
-ends: its next boot is another witness, and proves nothing of this one.
+For each holder a witness remembers the newest epoch that it allowed to be opened and
+the newest that it fenced. An epoch is never both. The memory is lost when the witness
+ends: its next boot is a different witness, and proves nothing about this one.
 """
 
 from typing import NamedTuple
@@ -12,22 +12,22 @@
 NO_EPOCH = -1
 
 WITNESS_COUNT = 2
-"""Witnesses of one holder: one that survives is proof enough, and both must
-be there to open a reserve."""
+"""Number of witnesses of one holder: one survivor is proof enough, and both must be
+reachable to open a reserve."""
 
 
 class Attestation(NamedTuple):
-    """Up to which epoch a holder's reserve was fenced, and opened."""
+    """The newest epochs of a holder's reserve that were fenced and opened."""
 
     fenced: int = NO_EPOCH
     opened: int = NO_EPOCH
 
     def proves_unopened(self, epoch: int) -> bool:
-        """Tell whether the reserve of ``epoch`` is unopened for good."""
+        """Return whether the reserve of ``epoch`` can never be opened any more."""
         return self.opened < epoch <= self.fenced
 
     def proves_opened(self, epoch: int) -> bool:
-        """Tell whether this witness agreed that ``epoch`` be opened."""
+        """Return whether this witness allowed ``epoch`` to be opened."""
         return self.fenced < epoch <= self.opened
 
 
@@ -38,11 +38,11 @@
         self.attestations: dict[str, Attestation] = {}
 
     def known(self, holder: str) -> Attestation:
-        """Return what is remembered of a holder."""
+        """Return the attestation recorded for a holder."""
         return self.attestations.get(holder, Attestation())
 
     def open(self, holder: str, epoch: int) -> Attestation:
-        """Let a holder open its reserve, unless that epoch is fenced."""
+        """Allow a holder to open its reserve, unless that epoch is fenced."""
         known = self.known(holder)
         if epoch > known.fenced:
             known = known._replace(opened=max(known.opened, epoch))
@@ -50,7 +50,7 @@
         return known
 
     def fence(self, holder: str, epoch: int) -> Attestation:
-        """Never let a holder open its reserve of ``epoch`` or before."""
+        """Fence a holder's reserve up to ``epoch``, unless that epoch is opened."""
         known = self.known(holder)
         if epoch > max(known.opened, NO_EPOCH):
             known = known._replace(fenced=max(known.fenced, epoch))
@@ -59,7 +59,7 @@
 
 
 def is_opened(record: HolderRecord, attestations: dict[str, Attestation]) -> bool:
-    """Tell whether all witnesses of a record agreed; ``attestations`` by boot."""
+    """Return whether all witnesses of a record agreed; ``attestations`` is by boot."""
     return bool(record.witnesses) and all(
         attestations.get(witness.boot, Attestation()).proves_opened(record.epoch)
         for witness in record.witnesses
@@ -67,7 +67,7 @@
 
 
 def is_unopened(record: HolderRecord, attestations: dict[str, Attestation]) -> bool:
-    """Tell whether a record's reserve is unopened for good.
+    """Return whether a record's reserve can never be opened any more.
 
     One witness is proof enough. Without witnesses it can never be opened.
     """
