--- a/libs/ledger/src/clementinebend_ledger/quotas.py
+++ b/libs/ledger/src/clementinebend_ledger/quotas.py
@@ -1,34 +1,34 @@
-"""Spending marks: who may spend how much of a prepaid budget.
+"""Quotas: how much of a prepaid budget each holder may spend.
 
-A holder (one boot of one entry) may spend up to its mark of a team's budget.
-The mark stands in a shared log before anything is spent under it, and every
-append names the end of the log that its writer has read. So the marks of all
-holders never exceed the budget, whoever dies, freezes or is cut off.
+A holder (one boot of one entry) may spend up to its quota of a team's budget. The quota
+is in a shared log before anything is spent under it, and every append names the end of
+the log that its writer has read. The quotas of all holders together therefore never
+exceed the budget, whichever holder dies, hangs or loses its connection.
 
-A mark has two parts. The first may be spent as it is. The reserve above it is
-for times in which the log is out of reach: it may be spent only once all
-witnesses that the holder has named in the log agree. A witness that has not
-agreed, and will not any more, proves a dead holder's reserve unspent.
+A quota has two parts. The first may be spent unconditionally. The reserve above it is
+for outages of the log: it may be spent only once all witnesses that the holder has
+named in the log agree. A witness that has not agreed, and never will, proves a dead
+holder's reserve unspent.
 
 Amounts are in tokens. Source of the scheme: bounded counters (Balegas et al.,
-"Extending Eventually Consistent Cloud Databases for Enforcing Numeric
-Invariants", 2015).
+"Extending Eventually Consistent Cloud Databases for Enforcing Numeric Invariants",
+2015).
 """
 
 from heapq import nlargest
 from typing import NamedTuple
 
 RECENT_QUOTAS = 3
-"""How many of the newest marks of a budget are searched for its current rate.
-More than one, as holders other than the last home also write marks."""
+"""Number of the newest quotas of a budget that are searched for its current rate. More
+than one, as holders other than the last home also write quotas."""
 
 
 class Quota(NamedTuple):
-    """One holder's part of a team's budget, as the log has it.
+    """One holder's quota of a team's budget as recorded in the log.
 
-    ``ceiling`` bounds what the holder ever spends, ``unwitnessed`` what it
-    spends without its witnesses. ``spent`` is what it had spent for certain,
-    ``rate`` (tokens per second) how fast its callers ask for more.
+    ``ceiling`` limits the total that the holder ever spends, ``unwitnessed`` what it
+    spends without its witnesses. ``spent`` is what it had certainly spent, ``rate``
+    (tokens per second) how fast its callers request more.
     """
 
     ceiling: int
@@ -38,7 +38,7 @@
 
 
 class Witness(NamedTuple):
-    """One boot of a witness, and where it listens."""
+    """One boot of a witness and its address."""
 
     boot: str
     host: str
@@ -46,24 +46,24 @@
 
 
 class HolderRecord(NamedTuple):
-    """Who a holder's witnesses are since its ``epoch``, which only grows."""
+    """A holder's witnesses as of its ``epoch``, which only grows."""
 
     epoch: int
     witnesses: tuple[Witness, ...]
 
 
 class QuotaKey(NamedTuple):
-    """Whose mark, of which team's budget."""
+    """Identifies a quota by team and holder."""
 
     team: str
     holder: str
 
 
 class QuotaBook(NamedTuple):
-    """All marks of one log partition, by team and holder.
+    """All quotas of one log partition, by team and holder.
 
-    ``offsets`` are those of the newest records; ``end`` is the offset up to
-    which the log has been read.
+    ``offsets`` are those of the newest records; ``end`` is the offset up to which the
+    log has been read.
     """
 
     teams: dict[str, dict[str, Quota]]
@@ -78,7 +78,7 @@
 
 
 def put_quota(book: QuotaBook, key: QuotaKey, quota: Quota | None, offset: int) -> None:
-    """Take a team's mark at ``offset``; one older than the newest is ignored."""
+    """Apply a team's quota at ``offset``; ignore it if a newer one is known."""
     if not _is_newer(book, key, offset):
         return
     quotas = book.teams.setdefault(key.team, {})
@@ -91,7 +91,7 @@
 def put_holder(
     book: QuotaBook, holder: str, record: HolderRecord | None, offset: int
 ) -> None:
-    """Take a holder's record at ``offset``; an older one is ignored."""
+    """Apply a holder's record at ``offset``; ignore it if a newer one is known."""
     if not _is_newer(book, QuotaKey("", holder), offset):
         return
     if record is None:
@@ -101,15 +101,15 @@
 
 
 def others(book: QuotaBook, team: str, holder: str) -> dict[str, Quota]:
-    """Return the marks of all holders of ``team`` but ``holder``."""
+    """Return the quotas of all holders of ``team`` except ``holder``."""
     quotas = book.teams.get(team, {})
     return {name: quota for name, quota in quotas.items() if name != holder}
 
 
 def max_recent_rate(book: QuotaBook, team: str, holder: str) -> int:
-    """Return the largest rate in the newest marks of ``team``, or 0 without marks.
+    """Return the largest rate in the newest quotas of ``team``, or 0 without quotas.
 
-    The mark of ``holder`` is excluded: its account has its own rate.
+    The quota of ``holder`` is excluded: its account has its own rate.
     """
     quotas = others(book, team, holder)
     offsets = {name: book.offsets[QuotaKey(team, name)] for name in quotas}
@@ -118,7 +118,7 @@
 
 
 def reclaimable(book: QuotaBook, holder: str) -> dict[str, Quota]:
-    """Return the marks of a holder without its reserves, where it has any.
+    """Return the quotas of a holder reduced by their reserves, where it has any.
 
     They may be written once a witness has proved the reserves unspent.
     """
