--- a/tests/unit/platform_client/test_newest_records.py
+++ b/tests/unit/platform_client/test_newest_records.py
@@ -7,7 +7,7 @@
     StoreFailure,
 )
 from clementinebend_platform_client.newest_records import KEPT_SECONDS, NewestRecords
-from tests.unit.relay.mark_world import FakeLog
+from tests.unit.relay.simulated_fleet import FakeLog
 
 FAILURE = StoreFailure(False, "away")
 FIRST = NewestPage((KeyedRecord(7, "a", b"1"),), 8, "a")
--- a/tests/unit/relay/mark_world.py
+++ b/tests/unit/relay/simulated_fleet.py
@@ -48,7 +48,7 @@
         return self.now
 
 
-class Late(NamedTuple):
+class DelayedAppend(NamedTuple):
     """An append whose answer was lost and that may still be executed."""
 
     records: tuple[tuple[str, bytes], ...]
@@ -64,11 +64,11 @@
     def __init__(
         self,
         records: list[KeyedRecord],
-        late: list[Late],
+        delayed: list[DelayedAppend],
         clock: Clock | None = None,
     ) -> None:
         self.records = records
-        self.late = late
+        self.delayed = delayed
         self.clock = clock or Clock()
         self.seconds = 0.0
         self.mode = "ok"
@@ -80,7 +80,7 @@
         if self.mode == "down":
             return StoreFailure(False, "down")
         if self.mode == "late":
-            self.late.append(Late(records, expected_end))
+            self.delayed.append(DelayedAppend(records, expected_end))
             return StoreFailure(True, "no answer")
         outcome = self.execute(records, expected_end)
         return StoreFailure(True, "no answer") if self.mode == "lost" else outcome
@@ -127,28 +127,28 @@
     Tests hand over by ``hand_over``.
     """
 
-    def __init__(self, world: "MarkWorld", number: int) -> None:
-        self.world = world
+    def __init__(self, fleet: "SimulatedFleet", number: int) -> None:
+        self.fleet = fleet
         self.number = number
         self.address = Address(f"10.0.0.{number}", 1)
         self.boot = new_incarnation(f"entry-{number}")
-        self.log = FakeLog(world.records, world.late, world.clock)
+        self.log = FakeLog(fleet.records, fleet.delayed, fleet.clock)
         self.desk = WitnessServer(self.boot, self.send)
         self.witnesses = Witnesses(
-            self.boot, f"zone-{number}", world.directory, self.send, world.clock
+            self.boot, f"zone-{number}", fleet.directory, self.send, fleet.clock
         )
         self.budgets = Budgets(
             self.boot,
             (self.log,),
             self.witnesses,
-            world.directory.has_successor,
-            world.clock,
+            fleet.directory.has_successor,
+            fleet.clock,
         )
         self.transfers = TransferBook()
         self.budgets.attach(self)
         self.is_home = True
         self.outstanding: list[int] = []
-        world.directory.announcements[f"entry-{number}"] = Announcement(
+        fleet.directory.announcements[f"entry-{number}"] = Announcement(
             self.boot, f"zone-{number}", *self.address
         )
 
@@ -164,7 +164,7 @@
         return None if self.is_home else "entry-0"
 
     def send(self, message: Message, to: Address) -> None:
-        self.world.sent.append(Sent(message, to, self.address))
+        self.fleet.sent.append(Sent(message, to, self.address))
 
     def configure(self, prepaid: int) -> None:
         team = Team(TEAM, prepaid, None)
@@ -185,29 +185,29 @@
     def take(self, message: TransferMessage) -> None:
         """Take what is new of what another entry says it has handed over."""
         amount = self.transfers.take(message.boot, message.team, message.transfer)
-        spent = self.world.spent.get(self.boot, 0)
-        self.world.spent[self.boot] = spent - amount
+        spent = self.fleet.spent.get(self.boot, 0)
+        self.fleet.spent[self.boot] = spent - amount
         giver = name_of(Incarnation(message.boot))
         self.budgets.on_transfer(message.team, amount, giver)
 
     def call(self, amount: int) -> bool:
         """Reserve for a call; it then is in progress."""
-        self.account.record_demand(amount, self.world.clock())
+        self.account.record_demand(amount, self.fleet.clock())
         if not self.account.reserve(amount):
             return False
         self.outstanding.append(amount)
-        self.world.spent[self.boot] = self.world.spent.get(self.boot, 0) + amount
+        self.fleet.spent[self.boot] = self.fleet.spent.get(self.boot, 0) + amount
         return True
 
     def finish(self, part: float) -> None:
         """End the oldest call; ``part`` of what it reserved was used."""
         amount = self.outstanding.pop(0)
         used = int(amount * part)
-        self.world.spent[self.boot] -= amount - used
+        self.fleet.spent[self.boot] -= amount - used
         self.account.settle(amount, used)
 
 
-class MarkWorld:
+class SimulatedFleet:
     """Entries and what they truly spent; calls in progress count at their most.
 
     What an entry handed over counts as spent by it, and not by who took it.
@@ -216,7 +216,7 @@
     def __init__(self, entries: int, prepaid: int) -> None:
         self.clock = Clock()
         self.records: list[KeyedRecord] = []
-        self.late: list[Late] = []
+        self.delayed: list[DelayedAppend] = []
         self.directory = Directory()
         self.sent: list[Sent] = []
         self.spent: dict[str, int] = {}
@@ -271,10 +271,12 @@
                     if entry.address == item.to:
                         entry.receive(item.message, item.sender)
 
-    def land_late(self) -> None:
+    def execute_delayed(self) -> None:
         """Execute the oldest append whose answer was lost, if it still fits."""
-        late = self.late.pop(0)
-        FakeLog(self.records, self.late, self.clock).execute(late.records, late.at)
+        delayed = self.delayed.pop(0)
+        FakeLog(self.records, self.delayed, self.clock).execute(
+            delayed.records, delayed.at
+        )
 
     def restart(self, number: int) -> None:
         """Kill an entry and start it anew; it remembers nothing."""
--- a/tests/unit/relay/test_following.py
+++ b/tests/unit/relay/test_following.py
@@ -8,7 +8,7 @@
 from clementinebend_bench.models.virtual_loop import run_virtually
 from clementinebend_platform_client.keyed_log import KeyedRecord, Page
 from clementinebend_relay.following import BATCH_PART, WAIT_PART, Follower
-from tests.unit.relay.mark_world import FakeLog
+from tests.unit.relay.simulated_fleet import FakeLog
 
 WITHIN = 4.0
 SECONDS = 60.0
--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -25,7 +25,7 @@
 from clementinebend_relay.peers import UNMET_SECONDS, Peers
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_transport.client_connection import Address
-from tests.unit.relay.mark_world import TEAM, Clock, FakeLog
+from tests.unit.relay.simulated_fleet import TEAM, Clock, FakeLog
 
 NOTICED_SECONDS = 1.0
 """Within this time a home that is gone must be noticed, at any size."""
--- a/tests/unit/relay/test_quota_manager.py
+++ b/tests/unit/relay/test_quota_manager.py
@@ -7,14 +7,14 @@
 from clementinebend_ledger.quota_requests import TokenRequest
 from clementinebend_relay.budgets import BUDGET_WAIT, MAX_BUDGET_WAIT
 from clementinebend_relay.quota_view import LIVE_SECONDS
-from tests.unit.relay.mark_world import TEAM, MarkWorld
+from tests.unit.relay.simulated_fleet import TEAM, SimulatedFleet
 
 PREPAID = 100_000
 
 
 @pytest.fixture
-def world() -> Iterator[MarkWorld]:
-    made = MarkWorld(3, PREPAID)
+def fleet() -> Iterator[SimulatedFleet]:
+    made = SimulatedFleet(3, PREPAID)
     made.ping()
     for number in range(3):
         made.commit(number)
@@ -22,214 +22,222 @@
     made.close()
 
 
-def spend_all(world: MarkWorld, number: int) -> None:
+def spend_all(fleet: SimulatedFleet, number: int) -> None:
     """Reserve until nothing is free."""
-    entry = world.entries[number]
+    entry = fleet.entries[number]
     while entry.account.free > 0:
         assert entry.call(entry.account.free)
 
 
-def raise_demand(world: MarkWorld, number: int) -> None:
+def raise_demand(fleet: SimulatedFleet, number: int) -> None:
     """Let callers ask for much, so that the entry wants a large mark."""
     for _ in range(20):
-        world.entries[number].account.record_demand(400, world.clock())
-    world.commit(number)
+        fleet.entries[number].account.record_demand(400, fleet.clock())
+    fleet.commit(number)
 
 
-def open_reserve(world: MarkWorld, number: int) -> None:
-    world.entries[number].manager.open_reserve()
-    world.deliver()
+def open_reserve(fleet: SimulatedFleet, number: int) -> None:
+    fleet.entries[number].manager.open_reserve()
+    fleet.deliver()
 
 
-def test_the_reserve_needs_all_witnesses(world: MarkWorld) -> None:
-    raise_demand(world, 0)
-    entry = world.entries[0]
+def test_the_reserve_needs_all_witnesses(fleet: SimulatedFleet) -> None:
+    raise_demand(fleet, 0)
+    entry = fleet.entries[0]
     before = entry.account.limit
     entry.manager.open_reserve()
-    world.deliver(lambda sent: sent.to != world.entries[1].address)
+    fleet.deliver(lambda sent: sent.to != fleet.entries[1].address)
     assert entry.account.limit == before
-    open_reserve(world, 0)
+    open_reserve(fleet, 0)
     assert entry.account.limit > before
 
 
-def test_a_lower_mark_on_its_way_binds_at_once(world: MarkWorld) -> None:
-    raise_demand(world, 0)
-    open_reserve(world, 0)
-    entry = world.entries[0]
+def test_a_lower_mark_on_its_way_binds_at_once(fleet: SimulatedFleet) -> None:
+    raise_demand(fleet, 0)
+    open_reserve(fleet, 0)
+    entry = fleet.entries[0]
     entry.log.mode = "late"
     entry.manager.plan.is_closing = True
-    world.commit(0)
+    fleet.commit(0)
     entry.manager.plan.is_closing = False
-    spend_all(world, 0)
-    world.land_late()
-    assert not world.over_quotas()
+    spend_all(fleet, 0)
+    fleet.execute_delayed()
+    assert not fleet.over_quotas()
 
 
-def test_an_append_without_answer_is_sent_again_unchanged(world: MarkWorld) -> None:
-    raise_demand(world, 0)
-    entry = world.entries[0]
+def test_an_append_without_answer_is_sent_again_unchanged(
+    fleet: SimulatedFleet,
+) -> None:
+    raise_demand(fleet, 0)
+    entry = fleet.entries[0]
     entry.log.mode = "late"
     entry.manager.plan.is_closing = True
-    world.commit(0)
+    fleet.commit(0)
     entry.manager.plan.is_closing = False
-    raise_demand(world, 0)
-    first, second = world.late
+    raise_demand(fleet, 0)
+    first, second = fleet.delayed
     assert first == second
-    spend_all(world, 0)
-    world.land_late()
-    assert not world.over_quotas()
+    spend_all(fleet, 0)
+    fleet.execute_delayed()
+    assert not fleet.over_quotas()
 
 
-def test_an_unopened_reserve_of_a_dead_holder_is_free_again(world: MarkWorld) -> None:
-    raise_demand(world, 0)
-    dead = world.entries[0].boot
-    quota = world.quotas()[dead]
+def test_an_unopened_reserve_of_a_dead_holder_is_free_again(
+    fleet: SimulatedFleet,
+) -> None:
+    raise_demand(fleet, 0)
+    dead = fleet.entries[0].boot
+    quota = fleet.quotas()[dead]
     assert quota.ceiling > quota.unwitnessed
-    world.restart(0)
-    world.commit(1)
-    world.deliver()
-    world.commit(1)
-    assert world.quotas()[dead].ceiling == quota.unwitnessed
-
-
-def test_an_opened_reserve_of_a_dead_holder_stays_lost(world: MarkWorld) -> None:
-    raise_demand(world, 0)
-    open_reserve(world, 0)
-    spend_all(world, 0)
-    dead = world.entries[0].boot
-    quota = world.quotas()[dead]
-    world.restart(0)
+    fleet.restart(0)
+    fleet.commit(1)
+    fleet.deliver()
+    fleet.commit(1)
+    assert fleet.quotas()[dead].ceiling == quota.unwitnessed
+
+
+def test_an_opened_reserve_of_a_dead_holder_stays_lost(fleet: SimulatedFleet) -> None:
+    raise_demand(fleet, 0)
+    open_reserve(fleet, 0)
+    spend_all(fleet, 0)
+    dead = fleet.entries[0].boot
+    quota = fleet.quotas()[dead]
+    fleet.restart(0)
     for _ in range(3):
-        world.clock.now += 3.0
-        world.commit(1)
-        world.deliver()
-    assert world.quotas()[dead].ceiling == quota.ceiling
-    assert not world.over_quotas()
-
-
-def test_a_live_holder_taken_for_dead_loses_only_its_reserve(world: MarkWorld) -> None:
-    raise_demand(world, 0)
-    entry = world.entries[0]
-    world.clock.now += 3.0
-    world.commit(1)
-    world.deliver()
-    world.commit(1)
-    open_reserve(world, 0)
-    spend_all(world, 0)
-    assert not world.over_quotas()
-    world.commit(0)
-    assert world.quotas()[entry.boot].ceiling >= entry.account.used
-
-
-def test_what_is_handed_over_is_counted_once(world: MarkWorld) -> None:
-    raise_demand(world, 0)
-    open_reserve(world, 0)
-    world.hand_over(0, 1, 50, arrives=True)
-    spend_all(world, 0)
-    spend_all(world, 1)
-    assert world.total() <= sum(quota.ceiling for quota in world.quotas().values())
-
-
-def test_a_planned_end_gives_back_what_is_unused(world: MarkWorld) -> None:
-    raise_demand(world, 0)
-    entry = world.entries[0]
-    world.loop.run_until_complete(entry.budgets.release(1.0))
-    assert world.quotas()[entry.boot].ceiling == entry.account.used
+        fleet.clock.now += 3.0
+        fleet.commit(1)
+        fleet.deliver()
+    assert fleet.quotas()[dead].ceiling == quota.ceiling
+    assert not fleet.over_quotas()
+
+
+def test_a_live_holder_taken_for_dead_loses_only_its_reserve(
+    fleet: SimulatedFleet,
+) -> None:
+    raise_demand(fleet, 0)
+    entry = fleet.entries[0]
+    fleet.clock.now += 3.0
+    fleet.commit(1)
+    fleet.deliver()
+    fleet.commit(1)
+    open_reserve(fleet, 0)
+    spend_all(fleet, 0)
+    assert not fleet.over_quotas()
+    fleet.commit(0)
+    assert fleet.quotas()[entry.boot].ceiling >= entry.account.used
+
+
+def test_what_is_handed_over_is_counted_once(fleet: SimulatedFleet) -> None:
+    raise_demand(fleet, 0)
+    open_reserve(fleet, 0)
+    fleet.hand_over(0, 1, 50, arrives=True)
+    spend_all(fleet, 0)
+    spend_all(fleet, 1)
+    assert fleet.total() <= sum(quota.ceiling for quota in fleet.quotas().values())
+
+
+def test_a_planned_end_gives_back_what_is_unused(fleet: SimulatedFleet) -> None:
+    raise_demand(fleet, 0)
+    entry = fleet.entries[0]
+    fleet.loop.run_until_complete(entry.budgets.release(1.0))
+    assert fleet.quotas()[entry.boot].ceiling == entry.account.used
 
 
 def test_a_holder_that_is_heard_lives_though_it_writes_nothing(
-    world: MarkWorld,
+    fleet: SimulatedFleet,
 ) -> None:
-    raise_demand(world, 0)
-    raise_demand(world, 1)
-    view = world.entries[0].manager.view
-    other = world.entries[1].manager.view.holder
-    world.commit(0)
-    world.clock.now += LIVE_SECONDS + 1
+    raise_demand(fleet, 0)
+    raise_demand(fleet, 1)
+    view = fleet.entries[0].manager.view
+    other = fleet.entries[1].manager.view.holder
+    fleet.commit(0)
+    fleet.clock.now += LIVE_SECONDS + 1
     assert other not in view.live()
-    lost = world.entries[0].manager.shortfall(TEAM, 1).left
+    lost = fleet.entries[0].manager.shortfall(TEAM, 1).left
     view.is_heard = lambda holder: holder == other
     assert other in view.live()
-    assert world.entries[0].manager.shortfall(TEAM, 1).left > lost
+    assert fleet.entries[0].manager.shortfall(TEAM, 1).left > lost
 
 
 def test_an_entry_that_is_not_the_home_writes_what_it_spends_of_its_own_mark(
-    world: MarkWorld,
+    fleet: SimulatedFleet,
 ) -> None:
-    raise_demand(world, 0)
-    entry = world.entries[0]
+    raise_demand(fleet, 0)
+    entry = fleet.entries[0]
     entry.is_home = False
-    spend_all(world, 0)
+    spend_all(fleet, 0)
     entry.finish(1.0)
-    world.commit(0)
-    assert world.quotas()[entry.boot].spent == entry.account.spent
+    fleet.commit(0)
+    assert fleet.quotas()[entry.boot].spent == entry.account.spent
 
 
-def test_a_budget_that_is_spent_is_told_so(world: MarkWorld) -> None:
-    shortfall = world.entries[0].manager.shortfall(TEAM, PREPAID + 1)
+def test_a_budget_that_is_spent_is_told_so(fleet: SimulatedFleet) -> None:
+    shortfall = fleet.entries[0].manager.shortfall(TEAM, PREPAID + 1)
     assert shortfall.is_spent
-    assert not world.entries[0].manager.shortfall(TEAM, PREPAID // 2).is_spent
+    assert not fleet.entries[0].manager.shortfall(TEAM, PREPAID // 2).is_spent
 
 
-def test_a_home_opens_its_reserve_while_the_log_keeps_silent(world: MarkWorld) -> None:
-    raise_demand(world, 0)
-    entry = world.entries[0]
-    spend_all(world, 0)
-    entry.manager.call_started_at = world.clock.now
-    world.clock.now += 0.2
+def test_a_home_opens_its_reserve_while_the_log_keeps_silent(
+    fleet: SimulatedFleet,
+) -> None:
+    raise_demand(fleet, 0)
+    entry = fleet.entries[0]
+    spend_all(fleet, 0)
+    entry.manager.call_started_at = fleet.clock.now
+    fleet.clock.now += 0.2
     entry.budgets.on_request(TEAM, TokenRequest(50))
-    world.deliver()
+    fleet.deliver()
     assert entry.budgets.on_request(TEAM, TokenRequest(50)) > 0
 
 
 def test_an_entry_that_gave_back_what_it_borrowed_still_writes_what_it_spends(
-    world: MarkWorld,
+    fleet: SimulatedFleet,
 ) -> None:
-    raise_demand(world, 0)
-    entry = world.entries[1]
+    raise_demand(fleet, 0)
+    entry = fleet.entries[1]
     entry.is_home = False
     for _ in range(21):
-        entry.account.record_demand(400, world.clock())
-    world.hand_over(0, 1, 500, arrives=True)
-    world.commit(1)
-    assert world.quotas()[entry.boot].ceiling < 0
+        entry.account.record_demand(400, fleet.clock())
+    fleet.hand_over(0, 1, 500, arrives=True)
+    fleet.commit(1)
+    assert fleet.quotas()[entry.boot].ceiling < 0
     assert entry.account.free > 0
     assert entry.call(entry.account.free)
     entry.finish(1.0)
-    assert entry.manager.plan.next_append(world.clock()) is not None
-    world.commit(1)
-    assert world.quotas()[entry.boot].spent == entry.account.spent
+    assert entry.manager.plan.next_append(fleet.clock()) is not None
+    fleet.commit(1)
+    assert fleet.quotas()[entry.boot].spent == entry.account.spent
 
 
-def test_what_is_asked_for_again_and_again_is_no_demand(world: MarkWorld) -> None:
-    raise_demand(world, 0)
-    spend_all(world, 0)
-    entry = world.entries[0]
-    before = entry.account.peak_rate(world.clock())
+def test_what_is_asked_for_again_and_again_is_no_demand(fleet: SimulatedFleet) -> None:
+    raise_demand(fleet, 0)
+    spend_all(fleet, 0)
+    entry = fleet.entries[0]
+    before = entry.account.peak_rate(fleet.clock())
     for _ in range(20):
         assert entry.budgets.on_request(TEAM, TokenRequest(50_000)) == 0
-    assert entry.account.peak_rate(world.clock()) <= before
+    assert entry.account.peak_rate(fleet.clock()) <= before
 
 
 def test_calls_wait_longer_for_a_log_that_is_slow_but_not_for_one_that_is_away(
-    world: MarkWorld,
+    fleet: SimulatedFleet,
 ) -> None:
-    budgets = world.entries[0].budgets
+    budgets = fleet.entries[0].budgets
     assert budgets.wait_seconds() == BUDGET_WAIT
-    world.entries[0].log.seconds = 0.15
-    raise_demand(world, 0)
+    fleet.entries[0].log.seconds = 0.15
+    raise_demand(fleet, 0)
     assert BUDGET_WAIT < budgets.wait_seconds() <= MAX_BUDGET_WAIT
     assert not budgets.is_log_unavailable()
-    world.entries[0].log.mode = "down"
-    raise_demand(world, 0)
+    fleet.entries[0].log.mode = "down"
+    raise_demand(fleet, 0)
     assert budgets.wait_seconds() == BUDGET_WAIT
     assert budgets.is_log_unavailable()
 
 
 def test_calls_wait_longer_while_their_home_reports_a_slow_log(
-    world: MarkWorld,
+    fleet: SimulatedFleet,
 ) -> None:
-    budgets = world.entries[0].budgets
+    budgets = fleet.entries[0].budgets
     budgets.on_home_answer_seconds(0.2)
     assert budgets.wait_seconds() == pytest.approx(0.5)
     budgets.on_home_answer_seconds(0.0)
@@ -240,28 +248,28 @@
 
 
 def test_a_call_that_lacks_little_beside_a_large_one_is_written_for(
-    world: MarkWorld,
+    fleet: SimulatedFleet,
 ) -> None:
-    account = world.entries[0].account
+    account = fleet.entries[0].account
     account.waiting = 16_000
-    world.commit(0)
+    fleet.commit(0)
     account.waiting = 0
     assert account.reserve(account.free)
     account.waiting = 600
-    world.commit(0)
+    fleet.commit(0)
     assert account.reserve(600)
 
 
 def test_a_home_writes_for_the_little_that_another_entry_lacks(
-    world: MarkWorld,
+    fleet: SimulatedFleet,
 ) -> None:
-    entry = world.entries[0]
+    entry = fleet.entries[0]
     account = entry.account
     account.waiting = 16_000
-    world.commit(0)
+    fleet.commit(0)
     account.waiting = 0
     assert account.reserve(account.free - 50)
     given = entry.budgets.on_request(TEAM, TokenRequest(124))
     assert given < 124
-    world.commit(0)
+    fleet.commit(0)
     assert entry.budgets.on_request(TEAM, TokenRequest(124 - given)) == 124 - given
--- a/tests/unit/relay/test_request_pacing.py
+++ b/tests/unit/relay/test_request_pacing.py
@@ -17,7 +17,7 @@
     RequestPacing,
 )
 from clementinebend_relay.witnesses import Witnesses
-from tests.unit.relay.mark_world import TEAM, FakeLog
+from tests.unit.relay.simulated_fleet import TEAM, FakeLog
 
 WAIT = 0.3
 HOME = "entry-0"
--- a/tests/unit/relay/test_starting_together.py
+++ b/tests/unit/relay/test_starting_together.py
@@ -14,7 +14,7 @@
 from clementinebend_platform_client.store_paths import StorePaths
 from clementinebend_relay.following import MOST_PATIENCE, Follower, patience_after
 from clementinebend_transport.client_connection import Address
-from tests.unit.relay.mark_world import FakeLog
+from tests.unit.relay.simulated_fleet import FakeLog
 
 STORE = Address("10.0.0.1", 1)
 RECORD = KeyedRecord(0, "config", b"v")
