--- a/tests/unit/ledger/test_quota_transfers.py
+++ b/tests/unit/ledger/test_quota_transfers.py
@@ -30,13 +30,13 @@
 )
 
 
-def test_a_lost_message_is_made_good_by_the_next() -> None:
+def test_a_lost_message_is_made_up_for_by_the_next() -> None:
     giver, taker = TransferBook(), TransferBook()
     giver.hand_over(TAKER, "a", 40)
     assert taker.take(GIVER, "a", giver.hand_over(TAKER, "a", 2)) == 42
 
 
-def test_a_message_that_comes_twice_or_late_changes_nothing() -> None:
+def test_a_repeated_or_late_message_has_no_effect() -> None:
     giver, taker = TransferBook(), TransferBook()
     first = giver.hand_over(TAKER, "a", 40)
     second = giver.hand_over(TAKER, "a", 2)
--- a/tests/unit/ledger/test_quota_witness.py
+++ b/tests/unit/ledger/test_quota_witness.py
@@ -38,7 +38,7 @@
     assert not attestation.proves_opened(4)
 
 
-def test_a_question_without_an_epoch_changes_nothing() -> None:
+def test_a_request_without_an_epoch_changes_nothing() -> None:
     state = WitnessState()
     assert state.fence(HOLDER, -1) == Attestation()
 
--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -110,7 +110,7 @@
     assert sum(watched) <= HOME_WATCHERS * HOME_WATCHERS * 4
 
 
-def test_an_entry_that_watches_nobody_notices_by_questions() -> None:
+def test_an_entry_that_watches_nobody_notices_by_unanswered_requests() -> None:
     clock = Clock()
     probe, _ = made_peers(clock, 0, 40)
     order = probe.homes._order(0)
@@ -132,7 +132,7 @@
     assert peers.home_of(0) == order[0]
 
 
-def test_a_part_is_taken_once_however_often_it_comes() -> None:
+def test_a_repeated_transfer_is_applied_once() -> None:
     peers, _ = made_peers(Clock(), entries=2)
     account = peers.budgets.managers[0].account(TEAM)
     account.waiting = 100
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("entries", SIZES)
-def test_a_question_costs_one_answer_at_any_size(entries: int) -> None:
+def test_a_request_costs_one_answer_at_any_size(entries: int) -> None:
     clock = Clock()
     peers, sent = made_peers(clock, 0, entries)
     for number, asked in product(range(1, entries), (10, 20)):
@@ -166,7 +166,7 @@
     assert len(sent.messages) - len(answers) <= HOME_CANDIDATES
 
 
-def test_what_is_lacking_is_handed_over_whole_once_the_home_has_it() -> None:
+def test_unmet_requests_are_met_in_full_once_the_home_has_the_tokens() -> None:
     """One that asks again counts once, and what was asked too long ago not at all."""
     clock = Clock()
     peers, sent = made_peers(clock, 0, 1)
--- a/tests/unit/relay/test_quota_manager.py
+++ b/tests/unit/relay/test_quota_manager.py
@@ -52,7 +52,7 @@
     assert entry.account.limit > before
 
 
-def test_a_lower_mark_on_its_way_binds_at_once(fleet: SimulatedFleet) -> None:
+def test_a_pending_lower_quota_applies_at_once(fleet: SimulatedFleet) -> None:
     raise_demand(fleet, 0)
     open_reserve(fleet, 0)
     entry = fleet.entries[0]
@@ -159,7 +159,7 @@
     assert fleet.entries[0].manager.shortfall(TEAM, 1).left > lost
 
 
-def test_an_entry_that_is_not_the_home_writes_what_it_spends_of_its_own_mark(
+def test_an_entry_that_is_not_the_home_writes_what_it_spends_of_its_own_quota(
     fleet: SimulatedFleet,
 ) -> None:
     raise_demand(fleet, 0)
@@ -171,13 +171,13 @@
     assert fleet.quotas()[entry.boot].spent == entry.account.spent
 
 
-def test_a_budget_that_is_spent_is_told_so(fleet: SimulatedFleet) -> None:
+def test_a_spent_budget_is_reported_as_spent(fleet: SimulatedFleet) -> None:
     shortfall = fleet.entries[0].manager.shortfall(TEAM, PREPAID + 1)
     assert shortfall.is_spent
     assert not fleet.entries[0].manager.shortfall(TEAM, PREPAID // 2).is_spent
 
 
-def test_a_home_opens_its_reserve_while_the_log_keeps_silent(
+def test_a_home_opens_its_reserve_while_the_log_does_not_answer(
     fleet: SimulatedFleet,
 ) -> None:
     raise_demand(fleet, 0)
@@ -209,7 +209,7 @@
     assert fleet.quotas()[entry.boot].spent == entry.account.spent
 
 
-def test_what_is_asked_for_again_and_again_is_no_demand(fleet: SimulatedFleet) -> None:
+def test_repeated_requests_do_not_count_as_demand(fleet: SimulatedFleet) -> None:
     raise_demand(fleet, 0)
     spend_all(fleet, 0)
     entry = fleet.entries[0]
@@ -219,7 +219,7 @@
     assert entry.account.peak_rate(fleet.clock()) <= before
 
 
-def test_calls_wait_longer_for_a_log_that_is_slow_but_not_for_one_that_is_away(
+def test_calls_wait_longer_for_a_slow_log_but_not_for_an_unavailable_one(
     fleet: SimulatedFleet,
 ) -> None:
     budgets = fleet.entries[0].budgets
@@ -247,7 +247,7 @@
         assert BUDGET_WAIT <= budgets.wait_seconds() <= MAX_BUDGET_WAIT
 
 
-def test_a_call_that_lacks_little_beside_a_large_one_is_written_for(
+def test_a_small_shortfall_after_a_large_call_is_written(
     fleet: SimulatedFleet,
 ) -> None:
     account = fleet.entries[0].account
@@ -260,7 +260,7 @@
     assert account.reserve(600)
 
 
-def test_a_home_writes_for_the_little_that_another_entry_lacks(
+def test_a_home_writes_a_small_shortfall_of_another_entry(
     fleet: SimulatedFleet,
 ) -> None:
     entry = fleet.entries[0]
--- a/tests/unit/relay/test_quotas_stateful.py
+++ b/tests/unit/relay/test_quotas_stateful.py
@@ -115,16 +115,16 @@
         assert self.fleet.total() <= self.fleet.prepaid
 
     @invariant()
-    def nobody_is_above_its_mark(self) -> None:
+    def no_entry_exceeds_its_quota(self) -> None:
         assert not self.fleet.over_quotas()
 
     @invariant()
-    def marks_fit_the_budget(self) -> None:
+    def quotas_fit_the_budget(self) -> None:
         quotas = self.fleet.quotas().values()
         assert sum(quota.ceiling for quota in quotas) <= self.fleet.prepaid
 
 
-def test_marks_never_exceed_the_budget() -> None:
+def test_quotas_never_exceed_the_budget() -> None:
     run_state_machine_as_test(
         QuotasMachine,
         settings=settings(
--- a/tests/unit/relay/test_request_pacing.py
+++ b/tests/unit/relay/test_request_pacing.py
@@ -69,7 +69,7 @@
         """Nobody has asked."""
 
 
-def test_the_home_is_silent_once_it_has_left_a_question_unanswered() -> None:
+def test_the_home_is_silent_once_it_has_left_a_request_unanswered() -> None:
     request_pacing = RequestPacing()
     assert request_pacing.may_ask_home(0.0)
     assert not request_pacing.may_ask_home(HOME_REQUEST_INTERVAL / 2)
@@ -79,14 +79,14 @@
     assert not request_pacing.is_home_silent(2.0)
 
 
-def test_an_answer_that_never_came_is_forgotten() -> None:
+def test_an_unanswered_request_expires() -> None:
     request_pacing = RequestPacing()
     request_pacing.may_ask_home(1.0)
     assert request_pacing.may_ask_home(60.0)
     assert not request_pacing.is_home_silent(60.0 + HOME_REQUEST_INTERVAL / 2)
 
 
-def test_all_are_asked_now_and_then() -> None:
+def test_all_entries_are_asked_at_intervals() -> None:
     request_pacing = RequestPacing()
     assert request_pacing.may_ask_all(0.0)
     assert not request_pacing.may_ask_all(ALL_REQUEST_INTERVAL / 2)
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("answers", [True, False])
-async def test_calls_that_wait_share_their_questions(answers: bool) -> None:
+async def test_waiting_calls_share_their_requests(answers: bool) -> None:
     budgets = made_budgets(FakeLog([], []))
     others = Others(budgets, answers)
     budgets.attach(others)
