--- a/tests/unit/relay/test_fleet_sizes.py
+++ b/tests/unit/relay/test_fleet_sizes.py
@@ -39,7 +39,7 @@
         super().send(sender, message, to)
 
 
-class Played(NamedTuple):
+class RunResult(NamedTuple):
     """What came of the calls, and what the fleet cost from the first one on."""
 
     calls: int
@@ -49,7 +49,7 @@
     store_calls: int
 
 
-async def play(entries: int, killed_at: float | None, back_at: float) -> Played:
+async def run_calls(entries: int, killed_at: float | None, back_at: float) -> RunResult:
     """Play some seconds of calls; all entries may be killed and come back."""
     loop = get_running_loop()
     calls = make_calls(entries, SECONDS, None, seed=5)
@@ -83,7 +83,7 @@
         tasks.append(create_task(serve(call)))
     await sleep(LEAD_SECONDS)
     end_all(fleet, entries)
-    return Played(
+    return RunResult(
         len(calls),
         tuple(served),
         tuple(refused),
@@ -105,10 +105,10 @@
 @pytest.mark.parametrize("entries", SIZES)
 def test_calls_are_served_soon_after_all_entries_were_killed(entries: int) -> None:
     back_at = 3.0
-    played = run_virtually(play(entries, killed_at=2.0, back_at=back_at))
-    after = [at for at in played.served_at if at > back_at]
+    result = run_virtually(run_calls(entries, killed_at=2.0, back_at=back_at))
+    after = [at for at in result.served_at if at > back_at]
     assert after[0] - back_at < RECOVERY_SECONDS
-    late_refusals = [at for at in played.refused_at if at > back_at + RECOVERY_SECONDS]
+    late_refusals = [at for at in result.refused_at if at > back_at + RECOVERY_SECONDS]
     assert not late_refusals
 
 
@@ -119,9 +119,9 @@
     Beside the calls an entry is asked at most once a second whether it lives; the
     store is called by the home, whatever the size of the fleet.
     """
-    played = run_virtually(play(entries, killed_at=None, back_at=0.0))
+    result = run_virtually(run_calls(entries, killed_at=None, back_at=0.0))
     seconds = SECONDS + LEAD_SECONDS
     watching = 0.25 * entries * seconds + 100 * seconds
-    assert played.datagrams < 6 * played.calls + watching
-    assert played.store_calls < 40 * seconds
-    assert len(played.refused_at) <= 0.005 * played.calls
+    assert result.datagrams < 6 * result.calls + watching
+    assert result.store_calls < 40 * seconds
+    assert len(result.refused_at) <= 0.005 * result.calls
--- a/tests/unit/relay/test_message_fuzz.py
+++ b/tests/unit/relay/test_message_fuzz.py
@@ -134,7 +134,7 @@
     assert isinstance(outcome, InvalidMessage | Message)
 
 
-async def take_all(sent: list[Message]) -> FleetEntry:
+async def receive_all(sent: list[Message]) -> FleetEntry:
     """Return an entry that has taken messages, each of them twice."""
     fleet = MarkFleet(StoreModel(()), {TEAM: PREPAID})
     for number in range(2):
@@ -155,7 +155,7 @@
 def test_no_message_ends_an_entry_or_raises_what_it_may_spend(
     sent: list[Message],
 ) -> None:
-    entry = run_virtually(take_all(sent))
+    entry = run_virtually(receive_all(sent))
     account = entry.budgets.managers[0].account(TEAM)
     assert account.limit <= PREPAID
     assert account.waiting == 0
--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -46,7 +46,7 @@
         self.messages.extend(message for _ in to)
 
 
-def made_peers(clock: Clock, number: int = 0, entries: int = 1) -> tuple[Peers, Sent]:
+def make_peers(clock: Clock, number: int = 0, entries: int = 1) -> tuple[Peers, Sent]:
     """Return the peers of one of some entries, and what it sends."""
     boot, directory, sent = new_incarnation(f"entry-{number}"), Directory(), Sent()
     witnesses = Witnesses(boot, "z", directory, sent.one, clock)
@@ -62,7 +62,7 @@
 
 
 def test_a_stopping_entry_is_no_home() -> None:
-    peers, _ = made_peers(Clock(), entries=2)
+    peers, _ = make_peers(Clock(), entries=2)
     parts = range(20)
     assert {peers.home_of(part) for part in parts} == {None, "entry-1"}
     peers.on_leaving(LeavingMessage("entry-1#1"))
@@ -76,7 +76,7 @@
 def test_all_entries_agree_on_a_home_at_the_start(entries: int) -> None:
     clock = Clock()
     numbers = (0, entries // 2, entries - 1)
-    views = [made_peers(clock, number, entries)[0] for number in numbers]
+    views = [make_peers(clock, number, entries)[0] for number in numbers]
     for part in range(8):
         homes = {peers.home_of(part) or peers.name for peers in views}
         assert len(homes) == 1
@@ -85,8 +85,8 @@
 @pytest.mark.parametrize("entries", SIZES)
 def test_a_silent_home_is_noticed_within_a_second_by_the_next(entries: int) -> None:
     clock = Clock()
-    order = made_peers(clock, 0, entries)[0].homes._order(0)
-    peers, _ = made_peers(clock, int(order[1].partition("-")[2]), entries)
+    order = make_peers(clock, 0, entries)[0].homes._order(0)
+    peers, _ = make_peers(clock, int(order[1].partition("-")[2]), entries)
     assert peers.home_of(0) == order[0]
     started = clock.now
     while peers.home_of(0) is not None:
@@ -103,7 +103,7 @@
 def test_whom_an_entry_watches_is_bounded_at_any_size(entries: int) -> None:
     clock = Clock()
     views = [
-        made_peers(clock, number, entries)[0] for number in range(min(40, entries))
+        make_peers(clock, number, entries)[0] for number in range(min(40, entries))
     ]
     watched = [len(peers.homes.watched()) for peers in views]
     assert max(watched) < HOME_WATCHERS * 4
@@ -112,10 +112,10 @@
 
 def test_an_entry_that_watches_nobody_notices_by_unanswered_requests() -> None:
     clock = Clock()
-    probe, _ = made_peers(clock, 0, 40)
+    probe, _ = make_peers(clock, 0, 40)
     order = probe.homes._order(0)
     outside = next(n for n in range(40) if f"entry-{n}" not in order)
-    peers, _ = made_peers(clock, outside, 40)
+    peers, _ = make_peers(clock, outside, 40)
     for _ in range(MOST_UNANSWERED):
         peers.ask(order[0], TEAM, TokenRequest(5))
         clock.now += 1.5 * ANSWER_SECONDS
@@ -133,7 +133,7 @@
 
 
 def test_a_repeated_transfer_is_applied_once() -> None:
-    peers, _ = made_peers(Clock(), entries=2)
+    peers, _ = make_peers(Clock(), entries=2)
     account = peers.budgets.managers[0].account(TEAM)
     account.waiting = 100
     transfer_message = TransferMessage(
@@ -155,7 +155,7 @@
 @pytest.mark.parametrize("entries", SIZES)
 def test_a_request_costs_one_answer_at_any_size(entries: int) -> None:
     clock = Clock()
-    peers, sent = made_peers(clock, 0, entries)
+    peers, sent = make_peers(clock, 0, entries)
     for number, asked in product(range(1, entries), (10, 20)):
         peers.on_request(
             TokenRequestMessage(f"entry-{number}#1", TEAM, TokenRequest(asked)),
@@ -169,7 +169,7 @@
 def test_unmet_requests_are_met_in_full_once_the_home_has_the_tokens() -> None:
     """One that asks again counts once, and what was asked too long ago not at all."""
     clock = Clock()
-    peers, sent = made_peers(clock, 0, 1)
+    peers, sent = make_peers(clock, 0, 1)
     peers.budgets.managers[0].view.prepaid = {TEAM: 1_000}
     account = peers.budgets.managers[0].account(TEAM)
     for boot, asked in (("a#1", 30), ("a#1", 40), ("b#1", 70)):
--- a/tests/unit/relay/test_request_pacing.py
+++ b/tests/unit/relay/test_request_pacing.py
@@ -39,7 +39,7 @@
         return await super().read(offset, wait)
 
 
-class Others:
+class StubPeers:
     """Neighbours whose home has nothing left, and says so or keeps silent."""
 
     def __init__(self, budgets: Budgets, answers: bool) -> None:
@@ -93,7 +93,7 @@
     assert request_pacing.may_ask_all(ALL_REQUEST_INTERVAL)
 
 
-def made_budgets(log: FakeLog) -> Budgets:
+def make_budgets(log: FakeLog) -> Budgets:
     """Return the budgets of an entry that knows no witness."""
     clock = get_running_loop().time
     boot = new_incarnation("entry-1")
@@ -103,8 +103,8 @@
 
 async def test_an_entry_that_is_not_the_home_reads_seldom() -> None:
     log = CountingLog()
-    budgets = made_budgets(log)
-    budgets.attach(Others(budgets, answers=False))
+    budgets = make_budgets(log)
+    budgets.attach(StubPeers(budgets, answers=False))
     manager = budgets.managers[0]
     running = create_task(manager.run())
     started = get_running_loop().time()
@@ -117,21 +117,21 @@
 
 @pytest.mark.parametrize("answers", [True, False])
 async def test_waiting_calls_share_their_requests(answers: bool) -> None:
-    budgets = made_budgets(FakeLog([], []))
-    others = Others(budgets, answers)
-    budgets.attach(others)
+    budgets = make_budgets(FakeLog([], []))
+    stub_peers = StubPeers(budgets, answers)
+    budgets.attach(stub_peers)
     team = Team(TEAM, 1_000_000, None)
     waits = (budgets.reserve(team, 100, WAIT) for _ in range(50))
     outcomes = await gather(*waits)
     assert all(isinstance(outcome, Shortfall) for outcome in outcomes)
-    assert 2 <= others.asked_home <= WAIT / HOME_REQUEST_INTERVAL + 2
-    assert others.asked_all <= WAIT / ALL_REQUEST_INTERVAL + 1
+    assert 2 <= stub_peers.asked_home <= WAIT / HOME_REQUEST_INTERVAL + 2
+    assert stub_peers.asked_all <= WAIT / ALL_REQUEST_INTERVAL + 1
     assert budgets.managers[0].commit_requested.is_set() != answers
 
 
 async def test_an_entry_that_is_no_home_knows_of_an_outage_by_its_other_reads() -> None:
-    budgets = made_budgets(FakeLog([], []))
-    budgets.attach(Others(budgets, answers=True))
+    budgets = make_budgets(FakeLog([], []))
+    budgets.attach(StubPeers(budgets, answers=True))
     assert not budgets.is_log_unavailable()
     budgets.is_store_lost = lambda: True
     assert budgets.is_log_unavailable()
