--- a/tests/unit/relay/simulated_fleet.py
+++ b/tests/unit/relay/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A small world for marks: entries, a log that fails, datagrams that get lost."""
+"""A simulated fleet: entries, a log that fails and a network that loses datagrams."""
 
 from asyncio import new_event_loop
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 
 class Clock:
-    """A steady clock that a test moves."""
+    """A monotonic clock that a test advances."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -56,7 +56,7 @@
 
 
 class FakeLog:
-    """A keyed log in memory; ``mode`` says how the next calls fare.
+    """A keyed log in memory; ``mode`` determines the outcome of the next calls.
 
     Each call takes ``seconds`` on the test's clock.
     """
@@ -114,7 +114,7 @@
 
 
 class Sent(NamedTuple):
-    """A datagram on its way."""
+    """A datagram in flight."""
 
     message: Message
     to: Address
@@ -122,9 +122,9 @@
 
 
 class FakeEntry(NoPeers):
-    """One boot of an entry; what it would ask of others is lost.
+    """One boot of an entry; its requests to other entries are dropped.
 
-    Tests hand over by ``hand_over``.
+    Tests transfer tokens with ``hand_over``.
     """
 
     def __init__(self, fleet: "SimulatedFleet", number: int) -> None:
@@ -183,7 +183,7 @@
                     self.take(message)
 
     def take(self, message: TransferMessage) -> None:
-        """Take what is new of what another entry says it has handed over."""
+        """Apply the part of a transfer that is new."""
         amount = self.transfers.take(message.boot, message.team, message.transfer)
         spent = self.fleet.spent.get(self.boot, 0)
         self.fleet.spent[self.boot] = spent - amount
@@ -191,7 +191,7 @@
         self.budgets.on_transfer(message.team, amount, giver)
 
     def call(self, amount: int) -> bool:
-        """Reserve for a call; it then is in progress."""
+        """Reserve for a call, which is then in progress."""
         self.account.record_demand(amount, self.fleet.clock())
         if not self.account.reserve(amount):
             return False
@@ -200,7 +200,7 @@
         return True
 
     def finish(self, part: float) -> None:
-        """End the oldest call; ``part`` of what it reserved was used."""
+        """End the oldest call; ``part`` of its reservation was used."""
         amount = self.outstanding.pop(0)
         used = int(amount * part)
         self.fleet.spent[self.boot] -= amount - used
@@ -208,9 +208,10 @@
 
 
 class SimulatedFleet:
-    """Entries and what they truly spent; calls in progress count at their most.
+    """Entries and what they have really spent.
 
-    What an entry handed over counts as spent by it, and not by who took it.
+    Calls in progress count with their whole reservation. Transferred tokens count as
+    spent by the giver and not by the receiver.
     """
 
     def __init__(self, entries: int, prepaid: int) -> None:
@@ -233,7 +234,7 @@
         return sum(self.spent.values())
 
     def quotas(self) -> dict[str, Quota]:
-        """Return the newest mark of each boot in the log."""
+        """Return the newest quota of each boot in the log."""
         newest = {record.key: record.value for record in self.records}
         return {
             boot_of(key.removeprefix(f"{TEAM}/")): decode(value, type=Quota)
@@ -242,7 +243,7 @@
         }
 
     def over_quotas(self) -> dict[str, int]:
-        """Return by how much each boot, dead or alive, is above its mark."""
+        """Return by how much each boot, dead or alive, exceeds its quota."""
         quotas = self.quotas()
         return {
             boot: used - ceiling
@@ -255,7 +256,7 @@
         return bool(self.loop.run_until_complete(manager.commit()))
 
     def ping(self) -> None:
-        """Let all entries see one another as witnesses."""
+        """Let all entries see one another as live witnesses."""
         for entry in self.entries:
             for item in self.directory.announcements.values():
                 if item.boot != entry.boot:
@@ -263,7 +264,7 @@
         self.deliver()
 
     def deliver(self, keep: Callable[[Sent], bool] = lambda sent: True) -> None:
-        """Deliver all datagrams, and the answers to them."""
+        """Deliver all datagrams and the answers to them."""
         while self.sent:
             batch, self.sent = self.sent, []
             for item in filter(keep, batch):
@@ -279,7 +280,7 @@
         )
 
     def restart(self, number: int) -> None:
-        """Kill an entry and start it anew; it remembers nothing."""
+        """Kill an entry and start a new boot of it without any state."""
         entry = FakeEntry(self, number)
         self.entries[number] = entry
         entry.configure(self.prepaid)
@@ -290,7 +291,7 @@
         self.entries[number].configure(self.prepaid)
 
     def hand_over(self, giver: int, taker: int, amount: int, arrives: bool) -> None:
-        """Let one entry ask another; the answer may get lost."""
+        """Let one entry request tokens from another; the answer may get lost."""
         source, target = self.entries[giver], self.entries[taker]
         given = source.budgets.on_request(TEAM, TokenRequest(amount))
         self.spent[source.boot] = self.spent.get(source.boot, 0) + given
