--- a/tests/unit/relay/test_quota_manager.py
+++ b/tests/unit/relay/test_quota_manager.py
@@ -1,4 +1,4 @@
-"""What a holder may spend while it cannot know what the log holds."""
+"""Tests what a holder may spend while it cannot know the state of the log."""
 
 from collections.abc import Iterator
 
@@ -30,7 +30,7 @@
 
 
 def raise_demand(fleet: SimulatedFleet, number: int) -> None:
-    """Let callers ask for much, so that the entry wants a large mark."""
+    """Let callers request many tokens, so that the entry needs a large quota."""
     for _ in range(20):
         fleet.entries[number].account.record_demand(400, fleet.clock())
     fleet.commit(number)
