--- a/tests/unit/relay/test_quotas_stateful.py
+++ b/tests/unit/relay/test_quotas_stateful.py
@@ -1,4 +1,4 @@
-"""Marks against a simple oracle: all that was spent never exceeds the budget."""
+"""Checks quotas against a simple oracle: total spending never exceeds the budget."""
 
 import os
 
@@ -38,7 +38,7 @@
 
     @rule(number=numbers, amount=amounts, calls=st.integers(1, 8))
     def call(self, number: int, amount: int, calls: int) -> None:
-        """Spend as much as the entry lets us."""
+        """Spend as much as the entry allows."""
         for _ in range(calls):
             self.fleet.entries[number].call(amount // calls + 1)
 
@@ -75,7 +75,7 @@
 
     @rule(number=numbers, other=numbers)
     def commit_all_but(self, number: int, other: int) -> None:
-        """Let some work on while others do not, and reclaim what they can."""
+        """Let some entries commit while others do not, and reclaim what they can."""
         self.fleet.clock.now += 3.0
         for entry in set(range(ENTRIES)) - {number, other}:
             self.fleet.commit(entry)
