--- a/tests/unit/relay/test_message_fuzz.py
+++ b/tests/unit/relay/test_message_fuzz.py
@@ -1,4 +1,4 @@
-"""Datagrams that are damaged, forged, late or come twice."""
+"""Tests that damaged, forged, late and repeated datagrams do no harm."""
 
 from asyncio import sleep
 from functools import cache
@@ -102,7 +102,7 @@
 
 @cache
 def sample() -> tuple[bytes, ...]:
-    """Return one datagram of each new kind."""
+    """Return one encoded datagram of each kind under test."""
     report = QueueReport(1, 2, 3, 0.5)
     kinds: tuple[Message, ...] = (
         LeavingMessage("a#1"),
@@ -135,7 +135,7 @@
 
 
 async def receive_all(sent: list[Message]) -> FleetEntry:
-    """Return an entry that has taken messages, each of them twice."""
+    """Return an entry that has received messages, each of them twice."""
     fleet = MarkFleet(StoreModel(()), {TEAM: PREPAID})
     for number in range(2):
         fleet.start(number)
