--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -1,4 +1,4 @@
-"""Which other entries are homes, and what entries hand to one another."""
+"""Tests the choice of homes and the transfers between entries."""
 
 from collections.abc import Iterable
 from itertools import product
@@ -28,13 +28,13 @@
 from tests.unit.relay.simulated_fleet import TEAM, Clock, FakeLog
 
 NOTICED_SECONDS = 1.0
-"""Within this time a home that is gone must be noticed, at any size."""
+"""Seconds within which a failed home must be noticed, in a fleet of any size."""
 
 SIZES = [4, 40, 400]
 
 
 class Sent:
-    """Datagrams that an entry has sent."""
+    """Records the datagrams that an entry sends."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
@@ -47,7 +47,7 @@
 
 
 def make_peers(clock: Clock, number: int = 0, entries: int = 1) -> tuple[Peers, Sent]:
-    """Return the peers of one of some entries, and what it sends."""
+    """Return the ``Peers`` of one entry of a fleet, and the datagrams it sends."""
     boot, directory, sent = new_incarnation(f"entry-{number}"), Directory(), Sent()
     witnesses = Witnesses(boot, "z", directory, sent.one, clock)
     budgets = Budgets(boot, (FakeLog([], []),), witnesses, lambda name: False, clock)
@@ -167,7 +167,7 @@
 
 
 def test_unmet_requests_are_met_in_full_once_the_home_has_the_tokens() -> None:
-    """One that asks again counts once, and what was asked too long ago not at all."""
+    """A repeated request counts once, and an expired one not at all."""
     clock = Clock()
     peers, sent = make_peers(clock, 0, 1)
     peers.budgets.managers[0].view.prepaid = {TEAM: 1_000}
