--- a/tests/unit/relay/test_request_pacing.py
+++ b/tests/unit/relay/test_request_pacing.py
@@ -1,4 +1,4 @@
-"""Questions for parts of budgets: few, however many calls wait."""
+"""Tests that entries send few requests for tokens, however many calls wait."""
 
 from asyncio import create_task, gather, get_running_loop, sleep
 
@@ -40,7 +40,7 @@
 
 
 class StubPeers:
-    """Neighbours whose home has nothing left, and says so or keeps silent."""
+    """Peers whose home has nothing left, and either says so or does not answer."""
 
     def __init__(self, budgets: Budgets, answers: bool) -> None:
         self.budgets = budgets
@@ -66,7 +66,7 @@
         return False
 
     def serve_unmet(self, part: int) -> None:
-        """Nobody has asked."""
+        """Do nothing, as no other entry has requested anything."""
 
 
 def test_the_home_is_silent_once_it_has_left_a_request_unanswered() -> None:
