--- a/tests/unit/relay/test_slow_store.py
+++ b/tests/unit/relay/test_slow_store.py
@@ -94,5 +94,5 @@
 
 
 def test_few_calls_are_refused_while_the_store_is_slow_after_a_kill() -> None:
-    """Guards against entries' own marks that race with the home's appends."""
+    """Guards against quotas of other entries that compete with the home's appends."""
     assert mean_refused(ENTRY_COUNTS[0], kill_home) <= MAX_REFUSED_FRACTION
