--- a/tests/unit/relay/test_fleet_sizes.py
+++ b/tests/unit/relay/test_fleet_sizes.py
@@ -1,6 +1,6 @@
-"""What budgets cost an entry, and how soon they are there again, at any fleet size.
+"""Tests the cost and recovery time of budgets in fleets of different sizes.
 
-The load is the same in each fleet: what grows with its size is what the fleet costs.
+The load is the same for each fleet, so any growth is the cost of the fleet itself.
 """
 
 from asyncio import create_task, get_running_loop, sleep
@@ -20,11 +20,11 @@
 LEAD_SECONDS = 3.0
 SECONDS = 6.0
 SPARE_FACTOR = 1.5
-"""Budgets, as a multiple of what is asked for: none runs out, even if all calls in
-progress are lost once."""
+"""Budgets as a multiple of the tokens requested, so that none is exhausted, even if all
+calls in progress are lost once."""
 
 RECOVERY_SECONDS = 2.0
-"""A fleet whose processes were all killed must serve again within this time."""
+"""Seconds within which a fleet whose processes were all killed must serve again."""
 
 
 class CountedFleet(MarkFleet):
@@ -40,7 +40,7 @@
 
 
 class RunResult(NamedTuple):
-    """What came of the calls, and what the fleet cost from the first one on."""
+    """The outcome of the calls, and what the fleet cost from the first one on."""
 
     calls: int
     served_at: tuple[float, ...]
@@ -50,7 +50,7 @@
 
 
 async def run_calls(entries: int, killed_at: float | None, back_at: float) -> RunResult:
-    """Play some seconds of calls; all entries may be killed and come back."""
+    """Run some seconds of calls; all entries may be killed and restarted."""
     loop = get_running_loop()
     calls = make_calls(entries, SECONDS, None, seed=5)
     needed: Counter[str] = Counter()
@@ -114,10 +114,10 @@
 
 @pytest.mark.parametrize("entries", SIZES)
 def test_what_budgets_cost_does_not_grow_with_the_fleet(entries: int) -> None:
-    """A call costs a question, an answer and what is given back, at most twice.
+    """A call costs a request, an answer and a return of tokens, at most twice each.
 
-    Beside the calls an entry is asked at most once a second whether it lives; the
-    store is called by the home, whatever the size of the fleet.
+    In addition an entry's liveness is checked at most once a second; only the home
+    calls the store, whatever the size of the fleet.
     """
     result = run_virtually(run_calls(entries, killed_at=None, back_at=0.0))
     seconds = SECONDS + LEAD_SECONDS
