--- a/tests/unit/ledger/test_quota_transfers.py
+++ b/tests/unit/ledger/test_quota_transfers.py
@@ -1,4 +1,4 @@
-"""Parts of budgets over a network that loses, repeats and reorders messages."""
+"""Tests transfers over a network that loses, repeats and reorders messages."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -11,11 +11,11 @@
 GIVER, TAKER = "entry-0#1", "entry-1#1"
 TEAMS = "abcd"
 SMALL = 2
-"""Pairs remembered in a book that forgets most of what it knows."""
+"""Maximum number of pairs of a book that drops most of what it knows."""
 
 
 class Step(NamedTuple):
-    """A part handed over, and which of the messages so far comes next, if any."""
+    """An amount transferred, and which of the messages so far arrives next, if any."""
 
     team: str
     amount: int
