--- a/tests/unit/ledger/test_quota_witness.py
+++ b/tests/unit/ledger/test_quota_witness.py
@@ -1,4 +1,4 @@
-"""Witnesses: an epoch is opened or fenced, never both."""
+"""Tests that a witness either allows opening an epoch or fences it, never both."""
 
 from hypothesis import given
 from hypothesis import strategies as st
