--- a/tests/unit/ledger/test_quotas.py
+++ b/tests/unit/ledger/test_quotas.py
@@ -14,7 +14,7 @@
 
 
 def book_with_rates(*rates: int) -> QuotaBook:
-    """Return a book with one mark per rate, each of another holder, oldest first."""
+    """Return a book with a quota of another holder for each rate, oldest first."""
     book = empty_book()
     for number, rate in enumerate(rates):
         key = QuotaKey(TEAM, f"entry-{number}#1@0")
