--- a/libs/relay/src/clementinebend_relay/quota_manager.py
+++ b/libs/relay/src/clementinebend_relay/quota_manager.py
@@ -165,7 +165,7 @@
         return False
 
     def _knows_end(self) -> bool:
-        """Return whether this home appended recently and so knows the log's end."""
+        """Return whether this home used the log recently enough to know its end."""
         view = self.view
         age = view.age()
         is_recent = age is not None and age < REWRITE_SECONDS
@@ -206,7 +206,7 @@
             await self._pause_as_borrower()
 
     async def _pause_as_borrower(self) -> None:
-        """Pause until this entry becomes the home or has quotas to return."""
+        """Pause until a commit is requested or due, or this entry becomes the home."""
         until = self.clock() + RETURN_INTERVAL
         while not self.view.is_home():
             if await self._wait_for_commit_request(COMMIT_SECONDS):
