--- a/libs/relay/src/clementinebend_relay/quota_plan.py
+++ b/libs/relay/src/clementinebend_relay/quota_plan.py
@@ -80,9 +80,10 @@
     def _is_change_due(
         self, team: str, quota: Quota, known: Quota, is_home: bool
     ) -> bool:
-        """Return whether a change is worth a record; any change is while closing.
+        """Return whether a change is worth a record.
 
-        If waiting calls lack tokens, any increase is written, however small.
+        While closing, any change is except of the rate alone. If waiting calls lack
+        tokens, any increase is, however small.
         """
         if self.is_closing:
             return quota != known._replace(rate=quota.rate)
