--- a/libs/ledger/src/clementinebend_ledger/quota_sizing.py
+++ b/libs/ledger/src/clementinebend_ledger/quota_sizing.py
@@ -142,10 +142,10 @@
     It keeps its current quota, so that what it borrowed stays borrowed, returns a large
     surplus, and takes more only for waiting calls.
     """
-    kept = borrow_target(account, now)
+    target = borrow_target(account, now)
     free = own.ceiling - account.used
     if account.waiting > free:
-        free = account.waiting + min(kept, max(0, pool) // 4)
-    elif free > 3 * kept:
-        free = kept
+        free = account.waiting + min(target, max(0, pool) // 4)
+    elif free > 3 * target:
+        free = target
     return free, free
--- a/libs/relay/src/clementinebend_relay/budget_peers.py
+++ b/libs/relay/src/clementinebend_relay/budget_peers.py
@@ -24,7 +24,7 @@
         """Request tokens of a team's budget from some other entries."""
         ...
 
-    def give_back(self, entry: str, team: str, amount: int) -> bool:
+    def return_tokens(self, entry: str, team: str, amount: int) -> bool:
         """Transfer tokens to an entry; return whether the entry is known."""
         ...
 
@@ -50,7 +50,7 @@
     def ask_others(self, team: str, asked: TokenRequest) -> None:
         """Do nothing, as no other entry is known."""
 
-    def give_back(self, entry: str, team: str, amount: int) -> bool:
+    def return_tokens(self, entry: str, team: str, amount: int) -> bool:
         """Return False: no other entry is known."""
         return False
 
--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -263,10 +263,10 @@
             return
         now = self.clock()
         account = self.manager(team).account(team)
-        usual = borrow_target(account, now)
-        is_low = account.free < usual // 2
+        target = borrow_target(account, now)
+        is_low = account.free < target // 2
         if is_low and self.request_pacing[team].may_ask_home(now):
-            self.budget_peers.ask(home, team, TokenRequest(usual))
+            self.budget_peers.ask(home, team, TokenRequest(target))
 
     async def _wait_until_reserved(
         self,
@@ -308,14 +308,14 @@
         home = self.budget_peers.home_of(self.part(team))
         now = self.clock()
         request_pacing = self.request_pacing[team]
-        is_alone = home is None or request_pacing.is_home_gone(now)
-        if is_alone:
+        is_without_home = home is None or request_pacing.is_home_gone(now)
+        if is_without_home:
             manager.request_commit()
             if manager.is_stalled() or home is not None:
                 manager.open_reserve()
         if home is not None:
             self._ask_home(home, team)
-        if is_alone and request_pacing.may_ask_all(now):
+        if is_without_home and request_pacing.may_ask_all(now):
             asked = token_request(manager.account(team), amount, now)
             self.budget_peers.ask_others(team, asked)
 
@@ -437,7 +437,7 @@
         surplus = account.free - kept
         if account.free <= RETURN_FACTOR * kept or surplus <= 0:
             return
-        if self.budget_peers.give_back(home, team, surplus):
+        if self.budget_peers.return_tokens(home, team, surplus):
             account.give(surplus)
 
     def is_home_of(self, team: str) -> bool:
--- a/libs/relay/src/clementinebend_relay/homes.py
+++ b/libs/relay/src/clementinebend_relay/homes.py
@@ -64,8 +64,8 @@
         self.orders: dict[int, tuple[str, ...]] = {}
         self.ordered_version = -1
         self.homes: dict[int, Home] = {}
-        self.logged: dict[int, str] = {}
-        self.watches_until: dict[int, float] = {}
+        self.logged_homes: dict[int, str] = {}
+        self.watched_until: dict[int, float] = {}
         self.asked_at: dict[int, float] = {}
 
     def home_of(self, part: int) -> str | None:
@@ -78,10 +78,10 @@
         return known.entry
 
     def _log_change(self, part: int, home: str) -> None:
-        before = self.logged.get(part)
+        before = self.logged_homes.get(part)
         if home == before:
             return
-        self.logged[part] = home
+        self.logged_homes[part] = home
         log_decision("budget home changed", part=part, home=home, before=before)
 
     def on_heard(self, boot: str) -> None:
@@ -111,7 +111,7 @@
         if self.home_of(part) is None:
             return []
         now = self.clock()
-        self.watches_until[part] = now + WATCH_SECONDS
+        self.watched_until[part] = now + WATCH_SECONDS
         if now - self.asked_at.get(part, 0.0) < ANSWER_SECONDS:
             return []
         self.asked_at[part] = now
@@ -163,7 +163,7 @@
         order = self._order(part)
         place = order.index(self.name) if self.name in order else HOME_CANDIDATES
         now = self.clock()
-        if place < HOME_WATCHERS or self.watches_until.get(part, 0.0) > now:
+        if place < HOME_WATCHERS or self.watched_until.get(part, 0.0) > now:
             return order[:place]
         return [
             name for name in order[:HOME_WATCHERS] if not self._is_available(name, now)
--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -136,7 +136,7 @@
             TokenRequestMessage(self.boot, team, asked), map(self._address, some)
         )
 
-    def give_back(self, entry: str, team: str, amount: int) -> bool:
+    def return_tokens(self, entry: str, team: str, amount: int) -> bool:
         """Transfer ``amount`` of a budget to an entry; return whether it is known.
 
         The caller then counts the amount as spent.
@@ -203,8 +203,8 @@
         team = message.team
         transfer = self.transfers.hand_over(message.boot, team, amount)
         is_home = self.budgets.is_home_of(team)
-        is_lacking = is_home and amount < message.asked.amount
-        remaining = self.budgets.remaining(team) if is_lacking else None
+        is_shortfall = is_home and amount < message.asked.amount
+        remaining = self.budgets.remaining(team) if is_shortfall else None
         answer_seconds = self.budgets.answer_seconds(team) if is_home else 0.0
         transfer_message = TransferMessage(
             self.boot, message.boot, team, transfer, is_home, remaining, answer_seconds
--- a/libs/relay/src/clementinebend_relay/quota_plan.py
+++ b/libs/relay/src/clementinebend_relay/quota_plan.py
@@ -123,9 +123,9 @@
     """
     step = max(1, (known.unwitnessed - known.spent) // SPENDABLE_STEP)
     ceiling_step = max(step, (known.ceiling - known.spent) // CEILING_STEP)
-    is_sized = (
+    is_size_changed = (
         abs(quota.ceiling - known.ceiling) >= ceiling_step
         or abs(quota.unwitnessed - known.unwitnessed) >= step
     )
     has_quota = is_home or known != NO_QUOTA
-    return is_sized or (has_quota and abs(quota.spent - known.spent) >= step)
+    return is_size_changed or (has_quota and abs(quota.spent - known.spent) >= step)
--- a/tests/unit/relay/test_request_pacing.py
+++ b/tests/unit/relay/test_request_pacing.py
@@ -62,7 +62,7 @@
     def ask_others(self, team: str, asked: TokenRequest) -> None:
         self.asked_all += 1
 
-    def give_back(self, entry: str, team: str, amount: int) -> bool:
+    def return_tokens(self, entry: str, team: str, amount: int) -> bool:
         return False
 
     def serve_unmet(self, part: int) -> None:
