--- a/libs/relay/src/clementinebend_relay/homes.py
+++ b/libs/relay/src/clementinebend_relay/homes.py
@@ -131,7 +131,7 @@
         return self._announced(sorted(names))
 
     def is_candidate(self) -> bool:
-        """Return whether this entry may become the home of a partition."""
+        """Return whether this entry is among the first candidates of a partition."""
         return any(
             self.name in self._order(part)[:HOME_WATCHERS] for part in range(self.parts)
         )
