--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -217,17 +217,17 @@
         if (shortfall := self._final_shortfall(manager, team.name, amount)) is not None:
             return shortfall
         account.waiting += amount
-        is_set_aside = False
+        is_reserved = False
         try:
             with suppress(TimeoutError):  # the caller logs why it is refused
                 async with timeout(wait) as wait_timeout:
                     latest_deadline = get_running_loop().time() + longest_wait
-                    is_set_aside = await self._wait_until_reserved(
+                    is_reserved = await self._wait_until_reserved(
                         manager, team.name, amount, wait_timeout, latest_deadline
                     )
         finally:
             account.waiting -= amount
-        if is_set_aside:
+        if is_reserved:
             return Reservation(team.name, amount)
         self._return_surplus(manager, team.name)
         return self._shortfall(manager, team.name, amount)
