--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -9,7 +9,7 @@
 
 from clementinebend_bench.models.mark_store import ModelLog, StoreModel
 from clementinebend_records.identifiers import Incarnation
-from clementinebend_relay.budgets import LONGEST_WAIT, Budgets, Reservation
+from clementinebend_relay.budgets import MAX_BUDGET_WAIT, Budgets, Reservation
 from clementinebend_relay.cold_endpoints import ColdEndpoints
 from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.endpoints import EndpointTable
@@ -24,7 +24,7 @@
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.receiving import receive
-from clementinebend_relay.witness import WitnessDesk
+from clementinebend_relay.witness import WitnessServer
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_transport.client_connection import Address
 
@@ -60,7 +60,7 @@
         self.address = Address(f"10.0.0.{number}", 1)
         self.boot = Incarnation(f"{self.name}#{fleet.next_boot()}")
         self.directory = Directory()
-        self.desk = WitnessDesk(self.boot, self.send)
+        self.desk = WitnessServer(self.boot, self.send)
         zone = f"zone-{number}"
         self.witnesses = Witnesses(self.boot, zone, self.directory, self.send, clock)
         log = ModelLog(fleet.store)
@@ -106,7 +106,7 @@
         teams = {name: Team(name, amount, None) for name, amount in prepaid.items()}
         self.budgets.configure(Configuration(1, {}, {}, teams, {}, LIMITS))
         jobs = (
-            self.budgets.keepers[0].run(),
+            self.budgets.managers[0].run(),
             self.peers.watch(),
             self.witnesses.run(),
         )
@@ -179,7 +179,7 @@
         customer = Team(team, self.prepaid[team], None)
         budgets = entry.budgets
         outcome = await budgets.reserve(
-            customer, amount, budgets.patience(), LONGEST_WAIT
+            customer, amount, budgets.wait_seconds(), MAX_BUDGET_WAIT
         )
         return outcome if isinstance(outcome, Reservation) else None
 
--- a/libs/relay/src/clementinebend_relay/budgets.py
+++ b/libs/relay/src/clementinebend_relay/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets in this entry's hands: reservation and settlement of calls."""
+"""Reserves and settles tokens of prepaid budgets for the calls of this entry."""
 
 from asyncio import Timeout, gather, get_running_loop, timeout
 from collections import defaultdict
@@ -8,61 +8,68 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from clementinebend_ledger.mark_gifts import Wish, gift, wish
-from clementinebend_ledger.mark_sizing import at_once, borrowed
+from clementinebend_ledger.quota_requests import (
+    TokenRequest,
+    token_request,
+    transferable_amount,
+)
+from clementinebend_ledger.quota_sizing import borrow_target, unwitnessed_target
 from clementinebend_platform_client.keyed_log import KeyedLog
-from clementinebend_relay.mark_keeper import MarkKeeper
-from clementinebend_relay.mark_view import FRESH_SECONDS, MarkView, Short
-from clementinebend_relay.messages import BudgetRest
+from clementinebend_relay.budget_peers import BudgetPeers, NoPeers
+from clementinebend_relay.messages import RemainingBudget
 from clementinebend_relay.models import Configuration, Team
-from clementinebend_relay.neighbours import Alone, Neighbours
-from clementinebend_relay.questions import HOME_PAUSE, Questions
+from clementinebend_relay.quota_manager import QuotaManager
+from clementinebend_relay.quota_view import FRESH_SECONDS, QuotaView, Shortfall
+from clementinebend_relay.request_pacing import HOME_REQUEST_INTERVAL, RequestPacing
 from clementinebend_relay.witnesses import Witnesses
 
-TURN_SECONDS = HOME_PAUSE
-"""Seconds that a waiting call leaves to the home or the store, which answer in
-some 5 and 10 ms, before it turns to the reserve and to the other entries."""
+FALLBACK_SECONDS = HOME_REQUEST_INTERVAL
+"""Seconds that a waiting call gives the home or the store, which answer in some 5 and
+10 ms, before it also tries the reserve and the other entries."""
 
 BUDGET_WAIT = 0.25
-"""Seconds that a call waits for its budget while the store answers. A new configuration
-that all entries read at once holds up a home's append for some 0.1 s; a caller that is
-told to come back after 0.5 s is late in any case."""
+"""Seconds that a call waits for its budget while the store answers normally. A new
+configuration that all entries read at once delays a home's append by some 0.1 s; a
+caller that is told to retry after 0.5 s is late in any case."""
 
-ANSWERS_WAITED = 2.5
-"""The same in answers of a slow store: one that is on its way, and the next."""
+STORE_ANSWERS_AWAITED = 2.5
+"""How many store answers a call waits for if the store is slow: the one in progress and
+the next."""
 
-LONGEST_WAIT = 0.8
-"""Longest time in seconds that a call waits for its budget: two answers of a slow
-store. A refused caller would take about as long until it is back."""
+MAX_BUDGET_WAIT = 0.8
+"""Maximum seconds that a call waits for its budget: two answers of a slow store. A
+refused caller would take about as long to retry."""
 
 ANSWER_TIME_REPORT_SECONDS = 2.0
 """Seconds for which a store answer time reported by a home remains valid."""
 
-LOW_PART = 0.5
-"""Part of what a home may spend at once below which it raises its mark: what is left
-lasts for the append."""
+LOW_FRACTION = 0.5
+"""Fraction of the unwitnessed target below which a home raises its quota early. The
+remainder lasts for the duration of the append."""
 
-REST_SECONDS = 0.25
-"""How long a home's word that a budget has too little left turns calls away at once;
-then it is asked again, as callers may have returned what they did not use."""
+REMAINING_VALID_SECONDS = 0.25
+"""Seconds for which calls are refused at once because the home reported too small a
+remaining budget. After that the home is asked again, as calls may have returned unused
+tokens."""
 
-REST_REMEMBERED = 0.02
-"""How long what is left of a budget is remembered: a home on a small host may be asked
+REMAINING_CACHE_SECONDS = 0.02
+"""Seconds for which the remaining budget is cached: a home on a small host may be asked
 for the same budget a hundred times a second."""
 
-GIVEN_BACK_FROM = 3
-"""Times what an entry keeps at hand from which on it gives the rest back. What many
-entries keep of ended calls is lacking elsewhere: calls are refused with budget left."""
+RETURN_FACTOR = 3
+"""An entry returns its surplus to the home once it has more than this multiple of its
+borrow target. Tokens that many entries keep after their calls have ended are missing
+elsewhere: calls are refused although budget is left."""
 
-PART_MARK = "@"
-"""Between an entry's boot and its partition in a holder's name."""
+PARTITION_SEPARATOR = "@"
+"""Separates the boot of an entry from the partition in a holder's name."""
 
 
-class Told(NamedTuple):
-    """What the home of a budget said was left of it, and when."""
+class RemainingReport(NamedTuple):
+    """The remaining budget that the home reported, and when the report arrived."""
 
     at: float
-    rest: BudgetRest
+    remaining: RemainingBudget
 
 
 class AnswerTimeReport(NamedTuple):
@@ -73,26 +80,26 @@
 
 
 class Reservation(NamedTuple):
-    """Tokens set aside for one call."""
+    """Tokens reserved for one call."""
 
     team: str
     amount: int
 
 
 def holder_name(boot: str, part: int) -> str:
-    """Return the name under which a boot of an entry holds marks in a partition."""
-    return f"{boot}{PART_MARK}{part}"
+    """Return the holder name of a boot of an entry in a partition."""
+    return f"{boot}{PARTITION_SEPARATOR}{part}"
 
 
 def boot_of(holder: str) -> str:
-    """Return the boot that a holder's name tells."""
-    return holder.rpartition(PART_MARK)[0]
+    """Return the boot that a holder name contains."""
+    return holder.rpartition(PARTITION_SEPARATOR)[0]
 
 
 class Budgets:
     """All budgets of this entry, by team.
 
-    ``is_succeeded`` tells of a boot whether the same entry has a later one.
+    ``is_succeeded`` returns whether an entry has a later boot than the given one.
     """
 
     def __init__(
@@ -105,71 +112,73 @@
     ) -> None:
         self.clock = clock
         self.is_succeeded = is_succeeded
-        self.neighbours: Neighbours = Alone()
+        self.budget_peers: BudgetPeers = NoPeers()
         self.is_store_lost: Callable[[], bool] = lambda: False
-        self.questions: dict[str, Questions] = defaultdict(Questions)
-        self.told: dict[str, Told] = {}
+        self.request_pacing: dict[str, RequestPacing] = defaultdict(RequestPacing)
+        self.reported: dict[str, RemainingReport] = {}
         self.answer_time_report = AnswerTimeReport(0.0, clock())
-        self.rests: dict[str, Told] = {}
-        self.keepers = tuple(
-            MarkKeeper(self._view(holder_name(boot, part), part, witnesses), log)
+        self.remaining_cache: dict[str, RemainingReport] = {}
+        self.managers = tuple(
+            QuotaManager(self._view(holder_name(boot, part), part, witnesses), log)
             for part, log in enumerate(logs)
         )
 
-    def attach(self, neighbours: Neighbours) -> None:
-        """Take the other entries, which hear when there is more to hand over."""
-        self.neighbours = neighbours
-        for part, keeper in enumerate(self.keepers):
-            keeper.on_wake = partial(neighbours.serve_unmet, part)
+    def attach(self, budget_peers: BudgetPeers) -> None:
+        """Set the other entries, which are notified when more tokens are available."""
+        self.budget_peers = budget_peers
+        for part, manager in enumerate(self.managers):
+            manager.on_change = partial(budget_peers.serve_unmet, part)
 
     def configure(self, configuration: Configuration) -> None:
-        """Take the budgets of a configuration."""
-        self.told.clear()
-        self.rests.clear()
-        for keeper in self.keepers:
-            keeper.configure(
+        """Apply the budgets of a configuration."""
+        self.reported.clear()
+        self.remaining_cache.clear()
+        for manager in self.managers:
+            manager.configure(
                 {
                     team.name: team.prepaid
                     for team in configuration.teams.values()
-                    if team.prepaid is not None and self.keeper(team.name) is keeper
+                    if team.prepaid is not None and self.manager(team.name) is manager
                 }
             )
 
-    def keeper(self, team: str) -> MarkKeeper:
-        """Return who keeps the marks of a team; all entries find the same."""
-        return self.keepers[self.part(team)]
+    def manager(self, team: str) -> QuotaManager:
+        """Return the quota manager of a team; all entries choose the same one."""
+        return self.managers[self.part(team)]
 
     def part(self, team: str) -> int:
-        """Return the partition that holds the marks of a team."""
-        return crc32(team.encode()) % len(self.keepers)
+        """Return the partition that holds the quotas of a team."""
+        return crc32(team.encode()) % len(self.managers)
 
     def _is_home(self, part: int) -> bool:
-        return self.neighbours.home_of(part) is None
+        return self.budget_peers.home_of(part) is None
 
-    def _view(self, holder: str, part: int, witnesses: Witnesses) -> MarkView:
-        return MarkView(
+    def _view(self, holder: str, part: int, witnesses: Witnesses) -> QuotaView:
+        return QuotaView(
             holder,
             witnesses,
             lambda other: self.is_succeeded(boot_of(other)),
-            lambda other: self.neighbours.is_heard(boot_of(other)),
+            lambda other: self.budget_peers.is_heard(boot_of(other)),
             partial(self._is_home, part),
             self.clock,
         )
 
-    def patience(self) -> float:
+    def wait_seconds(self) -> float:
         """Return how many seconds a call should wait for its budget."""
-        answering = (keeper for keeper in self.keepers if not keeper.is_out_of_reach())
-        slowest = max((keeper.answer_seconds for keeper in answering), default=0.0)
+        answering = (
+            manager for manager in self.managers if not manager.is_unavailable()
+        )
+        slowest = max((manager.answer_seconds for manager in answering), default=0.0)
         slowest = max(slowest, self._home_answer_seconds())
-        return min(LONGEST_WAIT, max(BUDGET_WAIT, ANSWERS_WAITED * slowest))
+        return min(MAX_BUDGET_WAIT, max(BUDGET_WAIT, STORE_ANSWERS_AWAITED * slowest))
 
     def answer_seconds(self, team: str) -> float:
-        """Return how long the store takes to answer calls for a team's marks."""
-        return self.keeper(team).answer_seconds
+        """Return how many seconds the store takes to answer for a team's quotas."""
+        return self.manager(team).answer_seconds
 
     def on_home_answer_seconds(self, seconds: float) -> None:
         """Record a home's store answer time, unless a longer one is still valid."""
-        seconds = min(LONGEST_WAIT, seconds)
+        seconds = min(MAX_BUDGET_WAIT, seconds)
         if seconds >= self._home_answer_seconds():
             self.answer_time_report = AnswerTimeReport(seconds, self.clock())
 
@@ -178,273 +187,283 @@
         is_recent = self.clock() - report.at < ANSWER_TIME_REPORT_SECONDS
         return report.answer_seconds if is_recent else 0.0
 
-    def is_log_away(self) -> bool:
-        """Tell whether some part of the log is out of reach at the moment.
+    def is_log_unavailable(self) -> bool:
+        """Return whether some partition of the log is currently unavailable.
 
-        An entry that is no home calls it seldom, and goes by what it reads elsewhere
-        in the store.
+        An entry that is not a home rarely calls the log; it relies on the state of its
+        other reads of the store.
         """
         return self.is_store_lost() or any(
-            keeper.is_out_of_reach() for keeper in self.keepers
+            manager.is_unavailable() for manager in self.managers
         )
 
     async def reserve(
         self, team: Team, amount: int, wait: float, longest_wait: float = 0.0
-    ) -> Reservation | Short:
-        """Set ``amount`` aside, waiting up to ``wait`` seconds for it.
+    ) -> Reservation | Shortfall:
+        """Reserve ``amount`` tokens, waiting up to ``wait`` seconds for them.
 
         The wait is extended, up to ``longest_wait`` seconds in all, if the home reports
         a slow store in the meantime.
         """
         if team.prepaid is None or amount == 0:
             return Reservation(team.name, 0)
-        keeper = self.keeper(team.name)
-        account = keeper.account(team.name)
-        account.demand(amount, self.clock())
+        manager = self.manager(team.name)
+        account = manager.account(team.name)
+        account.record_demand(amount, self.clock())
         if account.reserve(amount):
             self._borrow(team.name)
-            self._raise_early(keeper, team.name)
+            self._raise_before_empty(manager, team.name)
             return Reservation(team.name, amount)
-        if (short := self._final_short(keeper, team.name, amount)) is not None:
-            return short
+        if (shortfall := self._final_shortfall(manager, team.name, amount)) is not None:
+            return shortfall
         account.waiting += amount
-        is_set_aside = False
+        is_reserved = False
         try:
             with suppress(TimeoutError):  # the caller logs why it is refused
                 async with timeout(wait) as wait_timeout:
                     latest_deadline = get_running_loop().time() + longest_wait
-                    is_set_aside = await self._wait(
-                        keeper, team.name, amount, wait_timeout, latest_deadline
+                    is_reserved = await self._wait_until_reserved(
+                        manager, team.name, amount, wait_timeout, latest_deadline
                     )
         finally:
             account.waiting -= amount
-        if is_set_aside:
+        if is_reserved:
             return Reservation(team.name, amount)
-        self._give_back(keeper, team.name)
-        return self._short(keeper, team.name, amount)
-
-    def _final_short(self, keeper: MarkKeeper, team: str, amount: int) -> Short | None:
-        """Return why no wait would help, none if one might."""
-        short = self._short(keeper, team, amount)
-        if short.left is None or short.left >= amount or short.age is None:
+        self._return_surplus(manager, team.name)
+        return self._shortfall(manager, team.name, amount)
+
+    def _final_shortfall(
+        self, manager: QuotaManager, team: str, amount: int
+    ) -> Shortfall | None:
+        """Return the shortfall if waiting cannot help, or None if it might."""
+        shortfall = self._shortfall(manager, team, amount)
+        if shortfall.left is None or shortfall.left >= amount or shortfall.age is None:
             return None
         is_home = self.is_home_of(team)
-        is_fresh = keeper.is_fresh() if is_home else short.age < REST_SECONDS
-        return short if is_fresh else None
-
-    def _short(self, keeper: MarkKeeper, team: str, amount: int) -> Short:
-        """Return why ``amount`` cannot be set aside, by what the home said last."""
-        told = self.told.get(team)
-        if told is None or self.is_home_of(team):
-            return keeper.short(team, amount)
-        age = self.clock() - told.at
-        left, uncertain = told.rest
-        left += max(0, keeper.account(team).free)
+        is_fresh = (
+            manager.is_fresh() if is_home else shortfall.age < REMAINING_VALID_SECONDS
+        )
+        return shortfall if is_fresh else None
+
+    def _shortfall(self, manager: QuotaManager, team: str, amount: int) -> Shortfall:
+        """Return why ``amount`` cannot be reserved, going by the home's last report."""
+        reported = self.reported.get(team)
+        if reported is None or self.is_home_of(team):
+            return manager.shortfall(team, amount)
+        age = self.clock() - reported.at
+        left, uncertain = reported.remaining
+        left += max(0, manager.account(team).free)
         is_spent = age < FRESH_SECONDS and left + uncertain < amount
-        return Short(is_spent, left, uncertain, age)
+        return Shortfall(is_spent, left, uncertain, age)
 
     def _borrow(self, team: str) -> None:
-        """Ask the home for more before what is borrowed runs out."""
-        home = self.neighbours.home_of(self.part(team))
+        """Request more tokens from the home before the borrowed ones run out."""
+        home = self.budget_peers.home_of(self.part(team))
         if home is None:
             return
         now = self.clock()
-        account = self.keeper(team).account(team)
-        usual = borrowed(account, now)
-        is_low = account.free < usual // 2
-        if is_low and self.questions[team].may_ask_home(now):
-            self.neighbours.ask(home, team, Wish(usual))
+        account = self.manager(team).account(team)
+        target = borrow_target(account, now)
+        is_low = account.free < target // 2
+        if is_low and self.request_pacing[team].may_ask_home(now):
+            self.budget_peers.ask(home, team, TokenRequest(target))
 
-    async def _wait(
+    async def _wait_until_reserved(
         self,
-        keeper: MarkKeeper,
+        manager: QuotaManager,
         team: str,
         amount: int,
         wait_timeout: Timeout,
         latest_deadline: float,
     ) -> bool:
-        """Return true once ``amount`` is set aside: by the home, the store, or others.
+        """Return true once ``amount`` is reserved, whoever provides the tokens.
 
-        The first turn is the home's, or the store's where this is the home. False as
-        soon as the home says that too little is left. ``wait_timeout`` is extended, to
-        ``latest_deadline`` at most, when ``patience`` grows during the wait.
+        The first attempt waits for the home, or for the store if this entry is the
+        home. Returns false as soon as the home reports that too little is left.
+        ``wait_timeout`` is extended, to ``latest_deadline`` at most, when
+        ``wait_seconds`` grows during the wait.
         """
         started_at = get_running_loop().time()
-        self._seek_first(keeper, team)
-        while not await self._turn(keeper, team, amount):
-            if self._final_short(keeper, team, amount) is not None:
+        self._request_first(manager, team)
+        while not await self._reserve_briefly(manager, team, amount):
+            if self._final_shortfall(manager, team, amount) is not None:
                 return False
-            deadline = min(latest_deadline, started_at + self.patience())
+            deadline = min(latest_deadline, started_at + self.wait_seconds())
             if deadline > (wait_timeout.when() or 0.0):
                 wait_timeout.reschedule(deadline)
-            self._seek_further(keeper, team, amount)
+            self._request_again(manager, team, amount)
         return True
 
-    def _seek_first(self, keeper: MarkKeeper, team: str) -> None:
-        home = self.neighbours.home_of(self.part(team))
+    def _request_first(self, manager: QuotaManager, team: str) -> None:
+        home = self.budget_peers.home_of(self.part(team))
         if home is not None:
             self._ask_home(home, team)
-        elif keeper.is_stalled():
-            keeper.open_reserve()
+        elif manager.is_stalled():
+            manager.open_reserve()
         else:
-            keeper.hurry()
+            manager.request_commit()
 
-    def _seek_further(self, keeper: MarkKeeper, team: str, amount: int) -> None:
-        """Ask the home again; if it is silent, the store and some others."""
-        home = self.neighbours.home_of(self.part(team))
+    def _request_again(self, manager: QuotaManager, team: str, amount: int) -> None:
+        """Ask the home again; if it is silent, ask the store and other entries."""
+        home = self.budget_peers.home_of(self.part(team))
         now = self.clock()
-        questions = self.questions[team]
-        is_alone = home is None or questions.is_home_gone(now)
-        if is_alone:
-            keeper.hurry()
-            if keeper.is_stalled() or home is not None:
-                keeper.open_reserve()
+        request_pacing = self.request_pacing[team]
+        is_without_home = home is None or request_pacing.is_home_gone(now)
+        if is_without_home:
+            manager.request_commit()
+            if manager.is_stalled() or home is not None:
+                manager.open_reserve()
         if home is not None:
             self._ask_home(home, team)
-        if is_alone and questions.may_ask_all(now):
-            asked = wish(keeper.account(team), amount, now)
-            self.neighbours.ask_others(team, asked)
+        if is_without_home and request_pacing.may_ask_all(now):
+            asked = token_request(manager.account(team), amount, now)
+            self.budget_peers.ask_others(team, asked)
 
     def _ask_home(self, home: str, team: str) -> None:
-        """Ask for what all calls that wait need."""
+        """Request the tokens that all waiting calls need."""
         now = self.clock()
-        account = self.keeper(team).account(team)
-        if self.questions[team].may_ask_home(now):
-            needed = account.waiting + borrowed(account, now)
-            self.neighbours.ask(home, team, Wish(needed))
-
-    async def _turn(self, keeper: MarkKeeper, team: str, amount: int) -> bool:
-        """Wait a moment for ``amount``; return whether it is set aside."""
-        account = keeper.account(team)
+        account = self.manager(team).account(team)
+        if self.request_pacing[team].may_ask_home(now):
+            needed = account.waiting + borrow_target(account, now)
+            self.budget_peers.ask(home, team, TokenRequest(needed))
+
+    async def _reserve_briefly(
+        self, manager: QuotaManager, team: str, amount: int
+    ) -> bool:
+        """Wait briefly for ``amount``; return whether it is reserved."""
+        account = manager.account(team)
         with suppress(TimeoutError):
-            async with timeout(TURN_SECONDS):
+            async with timeout(FALLBACK_SECONDS):
                 while not account.reserve(amount):
-                    if self._final_short(keeper, team, amount) is not None:
+                    if self._final_shortfall(manager, team, amount) is not None:
                         return False
-                    await keeper.changed.wait()
+                    await manager.changed.wait()
                 return True
         return False
 
-    def on_ask(self, team: str, asked: Wish) -> int:
-        """Return what this entry hands over to one that asks.
+    def on_request(self, team: str, asked: TokenRequest) -> int:
+        """Return how many tokens this entry transfers to one that requests them.
 
-        A home hands over all or nothing: parts of a call's budget would lie with
-        several entries, of use to none. If it has too little it raises its mark.
+        A home transfers all or nothing: parts of a call's budget that are spread over
+        several entries are of no use to any of them. If it has too little it raises its
+        quota.
         """
         is_home = self.is_home_of(team)
-        amount = self.spare(team, asked)
+        amount = self.transferable(team, asked)
         if amount < asked.amount and is_home:
-            self.want(team, asked.amount)
+            self.record_request(team, asked.amount)
             return 0
         self.hand_over(team, amount)
         return amount
 
-    def want(self, team: str, amount: int) -> None:
-        """Raise this home's mark by what others lack."""
-        keeper = self.keeper(team)
-        keeper.account(team).ask(amount, self.clock())
-        keeper.hurry()
-        if keeper.is_stalled():
-            keeper.open_reserve()
+    def record_request(self, team: str, amount: int) -> None:
+        """Raise this home's quota by the amount that other entries lack."""
+        manager = self.manager(team)
+        manager.account(team).ask(amount, self.clock())
+        manager.request_commit()
+        if manager.is_stalled():
+            manager.open_reserve()
 
-    def spare(self, team: str, asked: Wish) -> int:
-        """Return how much of what is asked could be handed over now.
+    def transferable(self, team: str, asked: TokenRequest) -> int:
+        """Return how many of the requested tokens could be transferred now.
 
-        A home raises its mark for its own calls as for others, and keeps nothing back.
+        A home retains nothing for itself, as it raises its quota for its own calls and
+        for those of others alike.
         """
-        account = self.keeper(team).account(team)
+        account = self.manager(team).account(team)
         if self.is_home_of(team):
             return max(0, min(asked.amount, account.free - account.waiting))
-        return gift(account, asked, self.clock())
+        return transferable_amount(account, asked, self.clock())
 
     def hand_over(self, team: str, amount: int) -> None:
-        """Count ``amount`` as spent: another entry has it now."""
-        account = self.keeper(team).account(team)
+        """Count ``amount`` as spent, as another entry has it now."""
+        account = self.manager(team).account(team)
         account.give(amount)
         if self.is_home_of(team):
-            account.lent(amount, self.clock())
-        self._raise_early(self.keeper(team), team)
+            account.record_lending(amount, self.clock())
+        self._raise_before_empty(self.manager(team), team)
 
-    def _raise_early(self, keeper: MarkKeeper, team: str) -> None:
-        """Let a home raise its mark before it runs out, off the way of calls."""
+    def _raise_before_empty(self, manager: QuotaManager, team: str) -> None:
+        """Let a home raise its quota before it runs out, without delaying calls."""
         if not self.is_home_of(team):
             return
-        account = keeper.account(team)
-        if account.free < LOW_PART * at_once(account, 0.0, self.clock()):
-            keeper.hurry()
-
-    def on_gift(self, team: str, amount: int, giver: str) -> None:
-        """Take what the entry ``giver`` has handed over, which may be nothing."""
-        keeper = self.keeper(team)
-        if giver == self.neighbours.home_of(self.part(team)):
-            self.questions[team].on_home_answer(self.clock(), bool(amount))
-        account = keeper.account(team)
+        account = manager.account(team)
+        if account.free < LOW_FRACTION * unwitnessed_target(account, 0.0, self.clock()):
+            manager.request_commit()
+
+    def on_transfer(self, team: str, amount: int, giver: str) -> None:
+        """Apply a transfer, possibly of no tokens, from the entry ``giver``."""
+        manager = self.manager(team)
+        if giver == self.budget_peers.home_of(self.part(team)):
+            self.request_pacing[team].on_home_answer(self.clock(), bool(amount))
+        account = manager.account(team)
         if amount:
             account.take(amount)
         if not account.waiting:
-            self._give_back(keeper, team)
-        keeper.wake()
+            self._return_surplus(manager, team)
+        manager.notify_waiters()
 
-    def on_rest(self, team: str, rest: BudgetRest) -> None:
-        """Take what the home says is left of a budget."""
-        self.told[team] = Told(self.clock(), rest)
+    def on_remaining(self, team: str, remaining: RemainingBudget) -> None:
+        """Record the remaining budget that the home reported."""
+        self.reported[team] = RemainingReport(self.clock(), remaining)
 
-    def rest(self, team: str) -> BudgetRest | None:
-        """Return what is left of a budget, none if the store was not read lately.
+    def remaining(self, team: str) -> RemainingBudget | None:
+        """Return the remaining budget, or None if the store was not read recently.
 
-        It is worked out once for all that ask within some milliseconds.
+        The result is cached for some milliseconds, for all requests that arrive
+        meanwhile.
         """
-        known = self.rests.get(team)
+        known = self.remaining_cache.get(team)
         now = self.clock()
-        if known is not None and now - known.at < REST_REMEMBERED:
-            return known.rest
-        keeper = self.keeper(team)
-        if not keeper.is_fresh():
+        if known is not None and now - known.at < REMAINING_CACHE_SECONDS:
+            return known.remaining
+        manager = self.manager(team)
+        if not manager.is_fresh():
             return None
-        short = keeper.short(team, 0)
-        if short.left is None or short.uncertain is None:
+        shortfall = manager.shortfall(team, 0)
+        if shortfall.left is None or shortfall.uncertain is None:
             return None
-        rest = BudgetRest(short.left, short.uncertain)
-        self.rests[team] = Told(now, rest)
-        return rest
+        remaining = RemainingBudget(shortfall.left, shortfall.uncertain)
+        self.remaining_cache[team] = RemainingReport(now, remaining)
+        return remaining
 
-    def _give_back(self, keeper: MarkKeeper, team: str) -> None:
-        """Give the home what is left of calls that have ended."""
-        home = self.neighbours.home_of(self.part(team))
+    def _return_surplus(self, manager: QuotaManager, team: str) -> None:
+        """Return tokens left over from ended calls to the home."""
+        home = self.budget_peers.home_of(self.part(team))
         if home is None:
             return
-        account = keeper.account(team)
-        kept = borrowed(account, self.clock())
+        account = manager.account(team)
+        kept = borrow_target(account, self.clock())
         surplus = account.free - kept
-        if account.free <= GIVEN_BACK_FROM * kept or surplus <= 0:
+        if account.free <= RETURN_FACTOR * kept or surplus <= 0:
             return
-        if self.neighbours.give_back(home, team, surplus):
+        if self.budget_peers.return_tokens(home, team, surplus):
             account.give(surplus)
 
     def is_home_of(self, team: str) -> bool:
-        """Tell whether this entry is the home of a team's budget."""
+        """Return whether this entry is the home of a team's budget."""
         return self._is_home(self.part(team))
 
     def settle(self, reservation: Reservation, spent: int) -> None:
-        """Give back what a call did not use."""
+        """Release the tokens that a call did not use."""
         if reservation.amount == 0:
             return
-        keeper = self.keeper(reservation.team)
-        account = keeper.account(reservation.team)
+        manager = self.manager(reservation.team)
+        account = manager.account(reservation.team)
         account.settle(reservation.amount, spent)
         if account.waiting:
-            keeper.wake()
+            manager.notify_waiters()
         else:
-            self._give_back(keeper, reservation.team)
+            self._return_surplus(manager, reservation.team)
 
     def close(self) -> None:
-        """Keep no more than calls in progress need: no other will come."""
-        for keeper in self.keepers:
-            keeper.close()
+        """Keep only what calls in progress need; no further calls will arrive."""
+        for manager in self.managers:
+            manager.close()
 
     async def release(self, within: float) -> None:
-        """Give back what is not used, within some seconds: the process ends."""
+        """Return all unused tokens within some seconds, as the process is ending."""
         self.close()
         with suppress(TimeoutError):
             async with timeout(within):
-                await gather(*(keeper.commit() for keeper in self.keepers))
+                await gather(*(manager.commit() for manager in self.managers))
--- a/libs/relay/src/clementinebend_relay/handler.py
+++ b/libs/relay/src/clementinebend_relay/handler.py
@@ -10,7 +10,6 @@
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.dispatch import Dispatcher
 from clementinebend_relay.interfaces import HttpProtocol
-from clementinebend_relay.mark_view import Short
 from clementinebend_relay.metrics import (
     first_byte_seconds,
     rejected_calls,
@@ -20,6 +19,7 @@
 from clementinebend_relay.models import Reason, Rejection, RouteKind
 from clementinebend_relay.plain import PlainRelay
 from clementinebend_relay.progress import CallProgress
+from clementinebend_relay.quota_view import Shortfall
 from clementinebend_relay.streams import StreamRelay
 from clementinebend_relay.waiting_room import WaitingRoom
 from clementinebend_transport.http_types import Request, Response
@@ -96,27 +96,27 @@
     async def _reserve(self, admitted: Admitted) -> Reservation | Rejection:
         team, most = admitted.team, admitted.call.most_tokens
         longest_wait = admitted.time_limit / 2
-        wait = min(self.budgets.patience(), longest_wait)
+        wait = min(self.budgets.wait_seconds(), longest_wait)
         outcome = await self.budgets.reserve(team, most, wait, longest_wait)
         if isinstance(outcome, Reservation):
             return outcome
         return self._short(outcome, admitted)
 
-    def _short(self, short: Short, admitted: Admitted) -> Rejection:
+    def _short(self, shortfall: Shortfall, admitted: Admitted) -> Rejection:
         log_decision(
             "budget refused",
             request_id=admitted.call.request_id,
             team=admitted.team.name,
             amount=admitted.call.most_tokens,
-            left=short.left,
-            uncertain=short.uncertain,
-            age_s=None if short.age is None else round(short.age, 3),
-            is_spent=short.is_spent,
+            left=shortfall.left,
+            uncertain=shortfall.uncertain,
+            age_s=None if shortfall.age is None else round(shortfall.age, 3),
+            is_spent=shortfall.is_spent,
         )
-        if short.is_spent:
+        if shortfall.is_spent:
             return Rejection(Reason.BUDGET_SPENT, "the prepaid budget is spent")
         message = "no part of the budget is at hand"
-        pause = OUTAGE_PAUSE if self.budgets.is_log_away() else BUDGET_PAUSE
+        pause = OUTAGE_PAUSE if self.budgets.is_log_unavailable() else BUDGET_PAUSE
         return Rejection(Reason.BUDGET_BUSY, message, pause)
 
     async def _run(
--- a/libs/relay/src/clementinebend_relay/homes.py
+++ b/libs/relay/src/clementinebend_relay/homes.py
@@ -1,9 +1,9 @@
-"""Which entry is the home of a partition of budgets, and whether it lives.
+"""Selects the home of each budget partition and monitors whether it is alive.
 
-All entries rank one another alike for each partition, those with more processor more
-often in front: a home answers for all of a partition's calls. The first one that is
-not taken for gone is its home. Only the next few in that order watch it; all others
-notice that it is gone when it leaves their questions open.
+All entries compute the same ranking for each partition, weighted by processor cores
+because a home serves all calls of a partition. The first entry in it that is not
+suspected of being down is the home. Only the next few entries in the ranking watch it;
+all others notice that it is down when it does not answer their requests.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,38 +14,38 @@
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.discovery import Announcement, Directory
 
-CANDIDATES = 6
-"""How many entries of a partition's order may become its home: more than are lost at
-once, apart from a loss of all, after which the first are back as soon as others."""
+HOME_CANDIDATES = 6
+"""Number of entries in a partition's ranking that may become its home: more than are
+lost at once. If all are lost, the first ones are back as soon as any others."""
 
-WATCHERS = 3
-"""How many of them watch those before them, so that the loss of two at once is still
-noticed without a call."""
+HOME_WATCHERS = 3
+"""Number of candidates that watch those ranked before them, so that the loss of two at
+once is noticed even without calls."""
 
-WATCH_PAUSE = 0.2
-"""Seconds between questions whether a process lives: three without an answer, and so
-a home that is gone, are noticed within a second."""
+LIVENESS_CHECK_INTERVAL = 0.2
+"""Seconds between liveness checks: three without an answer, and so a failed home, are
+noticed within a second."""
 
-ASKED_SECONDS = 2.0
-"""How long a candidate that was asked as if it were home watches those before it:
-somebody takes them for gone."""
+WATCH_SECONDS = 2.0
+"""Seconds for which a candidate watches those ranked before it after a request
+addressed to it as the home: the sender considers them down."""
 
-LEAST_CORES = 0.01
-"""Least processor that an entry counts with, however little it announces."""
+MIN_CORES = 0.01
+"""Minimum number of cores that an entry is ranked with, however few it announces."""
 
-HOME_SECONDS = 0.05
-"""How long a home is remembered: a call costs then no search."""
+HOME_CACHE_SECONDS = 0.05
+"""Seconds for which a home is cached, so that calls need no search."""
 
 
 class Home(NamedTuple):
-    """Which other entry was home of a partition at some time; none if us."""
+    """The home of a partition at some time; ``entry`` is None if it is this entry."""
 
     at: float
     entry: str | None
 
 
 class Homes:
-    """The homes of all partitions, as one entry sees them."""
+    """The homes of all partitions as seen by one entry."""
 
     def __init__(
         self,
@@ -64,61 +64,61 @@
         self.orders: dict[int, tuple[str, ...]] = {}
         self.ordered_version = -1
         self.homes: dict[int, Home] = {}
-        self.logged: dict[int, str] = {}
-        self.watches_until: dict[int, float] = {}
+        self.logged_homes: dict[int, str] = {}
+        self.watched_until: dict[int, float] = {}
         self.asked_at: dict[int, float] = {}
 
     def home_of(self, part: int) -> str | None:
-        """Return which other entry is home of a partition; none if it is us."""
+        """Return the other entry that is a partition's home, or None if this one is."""
         now = self.clock()
         known = self.homes.get(part)
-        if known is None or now - known.at > HOME_SECONDS:
+        if known is None or now - known.at > HOME_CACHE_SECONDS:
             known = self.homes[part] = Home(now, self._home_of(part, now))
             self._log_change(part, known.entry or self.name)
         return known.entry
 
     def _log_change(self, part: int, home: str) -> None:
-        before = self.logged.get(part)
+        before = self.logged_homes.get(part)
         if home == before:
             return
-        self.logged[part] = home
+        self.logged_homes[part] = home
         log_decision("budget home changed", part=part, home=home, before=before)
 
     def on_heard(self, boot: str) -> None:
-        """Note that a boot of another entry has sent something."""
+        """Record that a boot of another entry has sent a message."""
         self.suspicions.on_heard(boot)
 
     def on_asked(self, boot: str) -> None:
-        """Note that a boot of another entry was asked for something."""
+        """Record that a request was sent to a boot of another entry."""
         self.suspicions.on_asked(boot, self.clock())
 
     def on_leaving(self, boot: str) -> None:
-        """Take a boot that is about to end no more for a home."""
+        """Exclude a boot that is about to end from being a home."""
         self.leaving.add(boot)
         self.homes.clear()
 
     def resign(self) -> None:
-        """Be no home any more, unless no other entry is left."""
+        """Stop being a home, unless no other entry is left."""
         self.is_leaving = True
         self.homes.clear()
 
-    def on_asked_as_home(self, part: int) -> list[Announcement]:
-        """Take that another entry takes this one for the home of a partition.
+    def on_request_as_home(self, part: int) -> list[Announcement]:
+        """Handle a request that treats this entry as the home of a partition.
 
-        Return whom to ask at once whether they live: those before this one, so that
-        it takes over some 0.1 s after the first question.
+        Return the entries whose liveness to check at once: those ranked before this
+        one, so that it takes over some 0.1 s after the first request.
         """
         if self.home_of(part) is None:
             return []
         now = self.clock()
-        self.watches_until[part] = now + ASKED_SECONDS
+        self.watched_until[part] = now + WATCH_SECONDS
         if now - self.asked_at.get(part, 0.0) < ANSWER_SECONDS:
             return []
         self.asked_at[part] = now
         return self._announced(self._watched(part))
 
-    def on_no_home(self, part: int) -> None:
-        """Take note that the supposed home says it is none: one before it lives."""
+    def on_home_denied(self, part: int) -> None:
+        """Handle a supposed home's answer that it is none: one before it is alive."""
         for name in self._order(part):
             item = self.directory.announcements.get(name)
             if item is not None:
@@ -126,14 +126,14 @@
         self.homes.pop(part, None)
 
     def watched(self) -> list[Announcement]:
-        """Return whom to ask now whether they live."""
+        """Return the entries whose liveness to check now."""
         names = {name for part in range(self.parts) for name in self._watched(part)}
         return self._announced(sorted(names))
 
     def is_candidate(self) -> bool:
-        """Tell whether this entry may become home of a partition at any moment."""
+        """Return whether this entry is among the first candidates of a partition."""
         return any(
-            self.name in self._order(part)[:WATCHERS] for part in range(self.parts)
+            self.name in self._order(part)[:HOME_WATCHERS] for part in range(self.parts)
         )
 
     def _announced(self, names: Iterable[str]) -> list[Announcement]:
@@ -145,11 +145,11 @@
             if name == self.name:
                 if not self.is_leaving:
                     return None
-            elif self._is_there(name, now):
+            elif self._is_available(name, now):
                 return name
         return None
 
-    def _is_there(self, name: str, now: float) -> bool:
+    def _is_available(self, name: str, now: float) -> bool:
         item = self.directory.announcements.get(name)
         if item is None or item.boot in self.leaving:
             return False
@@ -158,14 +158,16 @@
     def _watched(self, part: int) -> Iterable[str]:
         """Return the candidates before this one, or the first ones that are suspected.
 
-        The latter are asked so that it is noticed when they are back.
+        The latter are checked so that their return is noticed.
         """
         order = self._order(part)
-        place = order.index(self.name) if self.name in order else CANDIDATES
+        place = order.index(self.name) if self.name in order else HOME_CANDIDATES
         now = self.clock()
-        if place < WATCHERS or self.watches_until.get(part, 0.0) > now:
+        if place < HOME_WATCHERS or self.watched_until.get(part, 0.0) > now:
             return order[:place]
-        return [name for name in order[:WATCHERS] if not self._is_there(name, now)]
+        return [
+            name for name in order[:HOME_WATCHERS] if not self._is_available(name, now)
+        ]
 
     def _order(self, part: int) -> tuple[str, ...]:
         directory = self.directory
@@ -179,10 +181,10 @@
         if part not in self.orders:
             announced = directory.announcements
             weights = {
-                name: max(LEAST_CORES, announced[name].cores) for name in announced
+                name: max(MIN_CORES, announced[name].cores) for name in announced
             }
-            weights.setdefault(self.name, LEAST_CORES)
+            weights.setdefault(self.name, MIN_CORES)
             self.orders[part] = weighted_rendezvous(
-                f"marks-{part}", weights, CANDIDATES
+                f"marks-{part}", weights, HOME_CANDIDATES
             )
         return self.orders[part]
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -21,7 +21,6 @@
 from clementinebend_relay.handler import CallHandler
 from clementinebend_relay.interfaces import HttpProtocol, Logs, Records
 from clementinebend_relay.leaving_notifier import LeavingNotifier
-from clementinebend_relay.mark_keeper import MarkKeeper
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import Configuration
 from clementinebend_relay.partition_reader import (
@@ -35,11 +34,12 @@
 from clementinebend_relay.quarantine_sync import QuarantineSync
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
+from clementinebend_relay.quota_manager import QuotaManager
 from clementinebend_relay.receiving import receive
 from clementinebend_relay.settings import RelaySettings
 from clementinebend_relay.streams import StreamRelay
 from clementinebend_relay.waiting_room import WaitingRoom
-from clementinebend_relay.witness import WitnessDesk
+from clementinebend_relay.witness import WitnessServer
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_routing.sessions import SessionMemory
 from clementinebend_transport.client_connection import Address
@@ -95,7 +95,7 @@
         self.probe = probe
         self.gateways = Directory(self._on_gateways)
         self.socket: DatagramSocket | None = None
-        self.witness_desk = WitnessDesk(boot, self._send)
+        self.witness_desk = WitnessServer(boot, self._send)
         self.witnesses = Witnesses(boot, settings.zone, self.entries, self._send, clock)
         self.budgets = Budgets(
             boot, logs.marks, self.witnesses, self.entries.has_successor, clock
@@ -183,14 +183,14 @@
     def background_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return the coroutines that run until the process stops."""
         readers = [reader.run() for reader in self.readers]
-        keepers = [self._run_keeper(keeper) for keeper in self.budgets.keepers]
+        managers = [self._run_keeper(manager) for manager in self.budgets.managers]
         settings = self.settings
         own = Announcement(
             self.boot, settings.zone, *settings.peers, cores=settings.cores
         )
         return [
             *readers,
-            *keepers,
+            *managers,
             announce(self.logs.entries, self.settings.name, own),
             self.peers.watch(),
             self.witnesses.run(),
@@ -198,14 +198,14 @@
             self.paths.run(self.probe),
         ]
 
-    async def _run_keeper(self, keeper: MarkKeeper) -> None:
+    async def _run_keeper(self, manager: QuotaManager) -> None:
         """Run a mark keeper once the other entries are known.
 
         Before that each entry would consider itself the home of every budget, and all
         entries together would reserve far more than one home may hold.
         """
         await self.entries.known.wait()
-        await keeper.run()
+        await manager.run()
 
     async def listen(self, metrics_port: int) -> None:
         """Listen for callers, readiness checks, metrics scrapes and datagrams."""
--- a/libs/relay/src/clementinebend_relay/quarantine_sync.py
+++ b/libs/relay/src/clementinebend_relay/quarantine_sync.py
@@ -28,8 +28,8 @@
     FatalityMessage,
     Message,
     QuarantineMessage,
+    ReportedRun,
     SoundMessage,
-    ToldRun,
 )
 from clementinebend_relay.models import Endpoint, boot_name
 from clementinebend_relay.quarantine import Quarantine
@@ -211,7 +211,7 @@
 
         def message() -> Message:
             now = self.clock()
-            reported = (ToldRun(name, now - run.sent_at) for name, run in runs)
+            reported = (ReportedRun(name, now - run.sent_at) for name, run in runs)
             return EndpointEndedMessage(
                 self.boot, boot_name(endpoint), now - ended_at, tuple(reported)
             )
--- a/libs/relay/src/clementinebend_relay/mark_view.py
+++ b/libs/relay/src/clementinebend_relay/quota_view.py
@@ -1,6 +1,7 @@
-"""What the log says of some teams' marks, and what this holder may spend of them.
+"""The quotas of some teams as read from the log, and what this holder may spend.
 
-Nothing here waits or sends: the keeper's task feeds what it read.
+This module neither waits nor sends: the task of the quota manager passes it what it has
+read.
 """
 
 from collections.abc import Callable
@@ -9,55 +10,55 @@
 from msgspec import DecodeError, ValidationError
 from msgspec.msgpack import decode
 
-from clementinebend_ledger.mark_account import MarkAccount
-from clementinebend_ledger.mark_sizing import Allotment, allot
-from clementinebend_ledger.mark_witness import is_opened
-from clementinebend_ledger.marks import (
+from clementinebend_ledger.quota_account import QuotaAccount
+from clementinebend_ledger.quota_sizing import QuotaSize, size_quota
+from clementinebend_ledger.quota_witness import is_opened
+from clementinebend_ledger.quotas import (
     HolderRecord,
-    Mark,
-    MarkKey,
+    Quota,
+    QuotaKey,
     empty_book,
     max_recent_rate,
     others,
     put_holder,
-    put_mark,
+    put_quota,
 )
 from clementinebend_platform_client.keyed_log import KeyedRecord, Page
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.witnesses import Witnesses
 
 LIVE_SECONDS = 2.5
-"""A holder that wrote nothing for so long, while we could read, is taken for
-dead: its reserve is reclaimed if a witness agrees. A wrong guess costs the
-holder one commit."""
+"""A holder that has written nothing for this long, while the log was readable, is
+considered dead: its reserve is reclaimed if a witness agrees. If the holder is alive
+after all, this costs it one commit."""
 
 FRESH_SECONDS = 2.0
-"""How old a reading of the marks may be for a refusal that is final."""
+"""Maximum age in seconds of a read of the quotas for a refusal to be final."""
 
-NO_MARK = Mark(0, 0, 0, 0)
+NO_QUOTA = Quota(0, 0, 0, 0)
 NO_RECORD = HolderRecord(0, ())
 
 SEPARATOR = "/"
-"""Between team and holder in a key; names of holders have none. A holder's
+"""Separates team and holder in a key; holder names contain none. The key of a holder's
 own record has an empty team."""
 
 
 class Pending(NamedTuple):
-    """An append whose outcome is not known: it lands at offset ``at`` or never."""
+    """An append of unknown outcome: it lands at offset ``at`` or never."""
 
     at: int
     record: HolderRecord
-    marks: dict[str, Mark]
+    quotas: dict[str, Quota]
     records: tuple[tuple[str, bytes], ...]
 
 
-class Short(NamedTuple):
+class Shortfall(NamedTuple):
     """A reservation that could not be made.
 
-    ``is_spent`` is true if the budget has not that much left for anyone.
-    ``left`` is what was left for live holders by the marks as they were read
-    ``age`` seconds ago, ``uncertain`` what holders that ended may have spent or
-    not; all are ``None`` before the first reading.
+    ``is_spent`` is true if too little of the budget is left for any holder. ``left`` is
+    what was left for live holders according to the quotas read ``age`` seconds ago, and
+    ``uncertain`` what ended holders may or may not have spent. Both are ``None`` for a
+    team without a budget here; all are ``None`` before the first read.
     """
 
     is_spent: bool
@@ -66,11 +67,11 @@
     age: float | None
 
 
-class MarkView:
-    """The marks as one holder knows them, and its accounts.
+class QuotaView:
+    """The quotas as one holder knows them, and its accounts.
 
-    ``pending`` is an append that may or may not be in the log: until that is
-    known, only what both cases allow may be spent.
+    ``pending`` is an append that may or may not be in the log: until its outcome is
+    known, only the amount allowed in both cases may be spent.
     """
 
     def __init__(
@@ -89,19 +90,19 @@
         self.is_home = is_home
         self.clock = clock
         self.book = empty_book()
-        self.accounts: dict[str, MarkAccount] = {}
+        self.accounts: dict[str, QuotaAccount] = {}
         self.prepaid: dict[str, int] = {}
         self.pending: Pending | None = None
         self.append_seconds = 0.0
         self.read_at: float | None = None
-        self.heard: dict[str, float] = {}
+        self.last_record_at: dict[str, float] = {}
         self.taken_over: set[str] = set()
 
-    def account(self, team: str) -> MarkAccount:
+    def account(self, team: str) -> QuotaAccount:
         """Return the account of a team; a new one holds nothing."""
         account = self.accounts.get(team)
         if account is None:
-            account = self.accounts[team] = MarkAccount(self.clock())
+            account = self.accounts[team] = QuotaAccount(self.clock())
             account.limit = self._limit(team)
         return account
 
@@ -110,21 +111,21 @@
         return None if self.read_at is None else self.clock() - self.read_at
 
     def is_fresh(self) -> bool:
-        """Tell whether what was read last is good enough for a final refusal."""
+        """Return whether the last read is recent enough for a final refusal."""
         age = self.age()
         return age is not None and age < FRESH_SECONDS
 
-    def short(self, team: str, amount: int) -> Short:
-        """Return why ``amount`` cannot be set aside."""
+    def shortfall(self, team: str, amount: int) -> Shortfall:
+        """Return why ``amount`` cannot be reserved."""
         if self.read_at is None or team not in self.prepaid:
-            return Short(False, None, None, self.age())
-        allotment = self.allot(team, self.live())
-        is_spent = self.is_fresh() and allotment.unspent < amount
-        uncertain = allotment.unspent - allotment.pool
-        return Short(is_spent, allotment.pool, uncertain, self.age())
+            return Shortfall(False, None, None, self.age())
+        size = self.size_quota(team, self.live())
+        is_spent = self.is_fresh() and size.unspent < amount
+        uncertain = size.unspent - size.pool
+        return Shortfall(is_spent, size.pool, uncertain, self.age())
 
     def take(self, page: Page) -> None:
-        """Take what was read, or what this holder has appended."""
+        """Apply a page that was read, or that this holder has appended."""
         self.read_at = self.clock()
         for record in page.records:
             self._put(record)
@@ -134,54 +135,54 @@
         self.refresh_limits()
 
     def refresh_limits(self) -> None:
-        """Work out anew what each account may spend."""
+        """Recompute the spending limit of each account."""
         for team, account in self.accounts.items():
             account.limit = self._limit(team)
 
-    def mark(self, team: str) -> Mark:
-        """Return this holder's mark of a team, as the log has it."""
-        return self.book.teams.get(team, {}).get(self.holder, NO_MARK)
+    def quota(self, team: str) -> Quota:
+        """Return this holder's quota of a team as recorded in the log."""
+        return self.book.teams.get(team, {}).get(self.holder, NO_QUOTA)
 
-    def has_open_marks(self) -> bool:
-        """Tell whether this holder's marks let it spend more than it has."""
-        own = (marks.get(self.holder, NO_MARK) for marks in self.book.teams.values())
+    def has_open_quotas(self) -> bool:
+        """Return whether this holder may still spend under its quotas."""
+        own = (quotas.get(self.holder, NO_QUOTA) for quotas in self.book.teams.values())
         return self.pending is not None or any(
-            mark.ceiling > mark.spent for mark in own
+            quota.ceiling > quota.spent for quota in own
         )
 
     def record(self) -> HolderRecord:
-        """Return this holder's record, as the log has it."""
+        """Return this holder's record in the log."""
         return self.book.holders.get(self.holder, NO_RECORD)
 
     def unopened_records(self) -> list[HolderRecord]:
-        """Return the records that may be the newest and open no reserve yet."""
+        """Return the possibly newest records whose reserves are not opened yet."""
         possible = [self.record()]
         if self.pending is not None:
             possible.append(self.pending.record)
         return [record for record in possible if not self._is_opened(record)]
 
     def live(self) -> frozenset[str]:
-        """Return the holders that wrote a moment ago, or whose entry was heard.
+        """Return the holders that wrote, or whose entries were heard, recently.
 
-        Those that are not the home of a budget may write nothing for long.
+        Entries that are not the home of a budget may write nothing for a long time.
         """
         now = self.clock()
         return frozenset(
             name
-            for name, at in self.heard.items()
+            for name, at in self.last_record_at.items()
             if (now - at < LIVE_SECONDS or self.is_heard(name))
             and not self.is_succeeded(name)
         )
 
-    def allot(self, team: str, live: frozenset[str]) -> Allotment:
-        """Return the mark that this holder should have of a team.
+    def size_quota(self, team: str, live: frozenset[str]) -> QuotaSize:
+        """Return the quota that this holder should have of a team.
 
-        ``live`` is worked out once for all teams of a commit.
+        ``live`` is computed once for all teams of a commit.
         """
         self._raise_rates_on_takeover(team)
-        return allot(
+        return size_quota(
             self.account(team),
-            self.mark(team),
+            self.quota(team),
             others(self.book, team, self.holder),
             live,
             self.prepaid[team],
@@ -193,7 +194,7 @@
     def _raise_rates_on_takeover(self, team: str) -> None:
         """Raise the account's rates to the recent one when this holder becomes home.
 
-        Without it a new home sizes its mark from no demand and refuses calls.
+        Without it a new home sizes its quota from no demand and refuses calls.
         """
         if not self.is_home():
             self.taken_over.discard(team)
@@ -206,12 +207,14 @@
         team, _, holder = record.key.rpartition(SEPARATOR)
         try:
             if team:
-                mark = decode(record.value, type=Mark) if record.value else None
-                put_mark(self.book, MarkKey(team, holder), mark, record.offset)
+                quota = decode(record.value, type=Quota) if record.value else None
+                put_quota(self.book, QuotaKey(team, holder), quota, record.offset)
             else:
-                head = decode(record.value, type=HolderRecord) if record.value else None
-                put_holder(self.book, holder, head, record.offset)
-                self.heard[holder] = self.clock()
+                holder_record = (
+                    decode(record.value, type=HolderRecord) if record.value else None
+                )
+                put_holder(self.book, holder, holder_record, record.offset)
+                self.last_record_at[holder] = self.clock()
         except (DecodeError, ValidationError) as error:
             log_decision("mark refused", key=record.key, problem=str(error))
 
@@ -219,13 +222,13 @@
         return is_opened(record, self.witnesses.of(self.holder))
 
     def _limit(self, team: str) -> int:
-        """Return what may be spent whichever of the records is in the log."""
-        mark = self.mark(team)
-        limit = self._spendable(self.record(), mark)
+        """Return what may be spent whether or not the pending append is in the log."""
+        quota = self.quota(team)
+        limit = self._spendable(self.record(), quota)
         if self.pending is None:
             return limit
-        mark = self.pending.marks.get(team, mark)
-        return min(limit, self._spendable(self.pending.record, mark))
+        quota = self.pending.quotas.get(team, quota)
+        return min(limit, self._spendable(self.pending.record, quota))
 
-    def _spendable(self, record: HolderRecord, mark: Mark) -> int:
-        return mark.ceiling if self._is_opened(record) else mark.unwitnessed
+    def _spendable(self, record: HolderRecord, quota: Quota) -> int:
+        return quota.ceiling if self._is_opened(record) else quota.unwitnessed
--- a/libs/relay/src/clementinebend_relay/receiving.py
+++ b/libs/relay/src/clementinebend_relay/receiving.py
@@ -3,14 +3,12 @@
 from clementinebend_relay.evacuations import Evacuations
 from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.messages import (
-    AskMessage,
     AttestationMessage,
     EndedMessage,
     EndpointLeavingMessage,
     EvacuationMessage,
     FatalityMessage,
     FenceMessage,
-    GiftMessage,
     LeavingMessage,
     Message,
     OpenMessage,
@@ -18,12 +16,14 @@
     ReadMessage,
     ReportMessage,
     SentMessage,
+    TokenRequestMessage,
+    TransferMessage,
 )
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.quarantine_sync import QuarantineSync
 from clementinebend_relay.queue_desk import QueueDesk
 from clementinebend_relay.queue_probes import QueueProbes
-from clementinebend_relay.witness import WitnessDesk
+from clementinebend_relay.witness import WitnessServer
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_transport.client_connection import Address
 
@@ -32,7 +32,7 @@
     message: Message,
     sender: Address,
     peers: Peers,
-    witness_desk: WitnessDesk,
+    witness_desk: WitnessServer,
     witnesses: Witnesses,
     probes: QueueProbes,
     queues: QueueDesk,
@@ -44,10 +44,10 @@
     match message:
         case LeavingMessage():
             peers.on_leaving(message)
-        case AskMessage():
-            peers.on_ask(message, sender)
-        case GiftMessage():
-            peers.on_gift(message)
+        case TokenRequestMessage():
+            peers.on_request(message, sender)
+        case TransferMessage():
+            peers.on_transfer(message)
         case OpenMessage():
             witness_desk.on_open(message, sender)
         case FenceMessage():
--- a/tests/unit/ledger/test_mark_transfers.py
+++ b/tests/unit/ledger/test_quota_transfers.py
@@ -1,4 +1,4 @@
-"""Parts of budgets over a network that loses, repeats and reorders messages."""
+"""Tests transfers over a network that loses, repeats and reorders messages."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -6,16 +6,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from clementinebend_ledger.mark_transfers import Transfer, TransferBook
+from clementinebend_ledger.quota_transfers import Transfer, TransferBook
 
 GIVER, TAKER = "entry-0#1", "entry-1#1"
 TEAMS = "abcd"
 SMALL = 2
-"""Pairs remembered in a book that forgets most of what it knows."""
+"""Maximum number of pairs of a book that drops most of what it knows."""
 
 
 class Step(NamedTuple):
-    """A part handed over, and which of the messages so far comes next, if any."""
+    """An amount transferred, and which of the messages so far arrives next, if any."""
 
     team: str
     amount: int
@@ -30,13 +30,13 @@
 )
 
 
-def test_a_lost_message_is_made_good_by_the_next() -> None:
+def test_a_lost_message_is_made_up_for_by_the_next() -> None:
     giver, taker = TransferBook(), TransferBook()
     giver.hand_over(TAKER, "a", 40)
     assert taker.take(GIVER, "a", giver.hand_over(TAKER, "a", 2)) == 42
 
 
-def test_a_message_that_comes_twice_or_late_changes_nothing() -> None:
+def test_a_repeated_or_late_message_has_no_effect() -> None:
     giver, taker = TransferBook(), TransferBook()
     first = giver.hand_over(TAKER, "a", 40)
     second = giver.hand_over(TAKER, "a", 2)
@@ -48,7 +48,7 @@
 
 
 def test_a_pair_that_was_forgotten_is_not_taken_again() -> None:
-    taker = TransferBook(remembered=1)
+    taker = TransferBook(max_pairs=1)
     assert taker.take(GIVER, "a", Transfer(1, 40)) == 40
     assert taker.take(GIVER, "b", Transfer(2, 7)) == 7
     assert taker.take(GIVER, "a", Transfer(1, 40)) == 0
--- a/tests/unit/ledger/test_mark_witness.py
+++ b/tests/unit/ledger/test_quota_witness.py
@@ -1,15 +1,15 @@
-"""Witnesses: an epoch is opened or fenced, never both."""
+"""Tests that a witness either allows opening an epoch or fences it, never both."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from clementinebend_ledger.mark_witness import (
+from clementinebend_ledger.quota_witness import (
     Attestation,
     WitnessState,
     is_opened,
     is_unopened,
 )
-from clementinebend_ledger.marks import HolderRecord, Witness
+from clementinebend_ledger.quotas import HolderRecord, Witness
 
 HOLDER = "entry-1#a@0"
 FIRST, SECOND = Witness("w1", "10.0.0.1", 1), Witness("w2", "10.0.0.2", 1)
@@ -38,7 +38,7 @@
     assert not attestation.proves_opened(4)
 
 
-def test_a_question_without_an_epoch_changes_nothing() -> None:
+def test_a_request_without_an_epoch_changes_nothing() -> None:
     state = WitnessState()
     assert state.fence(HOLDER, -1) == Attestation()
 
--- a/tests/unit/relay/quarantine_world.py
+++ b/tests/unit/relay/quarantine_world.py
@@ -9,7 +9,7 @@
 from clementinebend_records.identifiers import Incarnation, new_incarnation
 from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.end_detector import EndedRun
-from clementinebend_relay.messages import Message, decoded, encoded
+from clementinebend_relay.messages import Message, decode_message, encode_message
 from clementinebend_relay.models import Endpoint, boot_name
 from clementinebend_relay.partition_reader import DIRECTORY_MAX_DELAY, PartitionReader
 from clementinebend_relay.quarantine import Quarantine
@@ -99,7 +99,7 @@
 
     def send_all(self, message: Message, addresses: Iterable[Address]) -> None:
         """Send a datagram to each address; each copy may be lost."""
-        data = encoded(message)
+        data = encode_message(message)
         self.largest_datagram = max(self.largest_datagram, len(data))
         for address in addresses:
             self.datagrams += 1
@@ -110,7 +110,7 @@
         def receive() -> None:
             entry = self.entries.get(address)
             if entry is not None:
-                entry.sync.on_message(decoded(data))  # type: ignore[arg-type]
+                entry.sync.on_message(decode_message(data))  # type: ignore[arg-type]
 
         get_running_loop().call_later(DATAGRAM_SECONDS, receive)
 
--- a/tests/unit/relay/mark_world.py
+++ b/tests/unit/relay/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A small world for marks: entries, a log that fails, datagrams that get lost."""
+"""A simulated fleet: entries, a log that fails and a network that loses datagrams."""
 
 from asyncio import new_event_loop
 from collections.abc import Callable
@@ -6,9 +6,9 @@
 
 from msgspec.msgpack import decode
 
-from clementinebend_ledger.mark_gifts import Wish
-from clementinebend_ledger.mark_transfers import TransferBook
-from clementinebend_ledger.marks import Mark
+from clementinebend_ledger.quota_requests import TokenRequest
+from clementinebend_ledger.quota_transfers import TransferBook
+from clementinebend_ledger.quotas import Quota
 from clementinebend_platform_client.keyed_log import (
     Appended,
     Conflict,
@@ -19,18 +19,18 @@
     StoreFailure,
 )
 from clementinebend_records.identifiers import Incarnation, name_of, new_incarnation
+from clementinebend_relay.budget_peers import NoPeers
 from clementinebend_relay.budgets import Budgets, boot_of
 from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.messages import (
     AttestationMessage,
     FenceMessage,
-    GiftMessage,
     Message,
     OpenMessage,
+    TransferMessage,
 )
 from clementinebend_relay.models import CallerLimits, Configuration, Team
-from clementinebend_relay.neighbours import Alone
-from clementinebend_relay.witness import WitnessDesk
+from clementinebend_relay.witness import WitnessServer
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_transport.client_connection import Address
 
@@ -39,7 +39,7 @@
 
 
 class Clock:
-    """A steady clock that a test moves."""
+    """A monotonic clock that a test advances."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -48,7 +48,7 @@
         return self.now
 
 
-class Late(NamedTuple):
+class DelayedAppend(NamedTuple):
     """An append whose answer was lost and that may still be executed."""
 
     records: tuple[tuple[str, bytes], ...]
@@ -56,7 +56,7 @@
 
 
 class FakeLog:
-    """A keyed log in memory; ``mode`` says how the next calls fare.
+    """A keyed log in memory; ``mode`` determines the outcome of the next calls.
 
     Each call takes ``seconds`` on the test's clock.
     """
@@ -64,11 +64,11 @@
     def __init__(
         self,
         records: list[KeyedRecord],
-        late: list[Late],
+        delayed: list[DelayedAppend],
         clock: Clock | None = None,
     ) -> None:
         self.records = records
-        self.late = late
+        self.delayed = delayed
         self.clock = clock or Clock()
         self.seconds = 0.0
         self.mode = "ok"
@@ -80,7 +80,7 @@
         if self.mode == "down":
             return StoreFailure(False, "down")
         if self.mode == "late":
-            self.late.append(Late(records, expected_end))
+            self.delayed.append(DelayedAppend(records, expected_end))
             return StoreFailure(True, "no answer")
         outcome = self.execute(records, expected_end)
         return StoreFailure(True, "no answer") if self.mode == "lost" else outcome
@@ -114,57 +114,57 @@
 
 
 class Sent(NamedTuple):
-    """A datagram on its way."""
+    """A datagram in flight."""
 
     message: Message
     to: Address
     sender: Address
 
 
-class FakeEntry(Alone):
-    """One boot of an entry; what it would ask of others is lost.
+class FakeEntry(NoPeers):
+    """One boot of an entry; its requests to other entries are dropped.
 
-    Tests hand over by ``hand_over``.
+    Tests transfer tokens with ``hand_over``.
     """
 
-    def __init__(self, world: "MarkWorld", number: int) -> None:
-        self.world = world
+    def __init__(self, fleet: "SimulatedFleet", number: int) -> None:
+        self.fleet = fleet
         self.number = number
         self.address = Address(f"10.0.0.{number}", 1)
         self.boot = new_incarnation(f"entry-{number}")
-        self.log = FakeLog(world.records, world.late, world.clock)
-        self.desk = WitnessDesk(self.boot, self.send)
+        self.log = FakeLog(fleet.records, fleet.delayed, fleet.clock)
+        self.desk = WitnessServer(self.boot, self.send)
         self.witnesses = Witnesses(
-            self.boot, f"zone-{number}", world.directory, self.send, world.clock
+            self.boot, f"zone-{number}", fleet.directory, self.send, fleet.clock
         )
         self.budgets = Budgets(
             self.boot,
             (self.log,),
             self.witnesses,
-            world.directory.has_successor,
-            world.clock,
+            fleet.directory.has_successor,
+            fleet.clock,
         )
         self.transfers = TransferBook()
         self.budgets.attach(self)
         self.is_home = True
         self.outstanding: list[int] = []
-        world.directory.announcements[f"entry-{number}"] = Announcement(
+        fleet.directory.announcements[f"entry-{number}"] = Announcement(
             self.boot, f"zone-{number}", *self.address
         )
 
     @property
-    def keeper(self):  # type: ignore[no-untyped-def]
-        return self.budgets.keepers[0]
+    def manager(self):  # type: ignore[no-untyped-def]
+        return self.budgets.managers[0]
 
     @property
     def account(self):  # type: ignore[no-untyped-def]
-        return self.keeper.account(TEAM)
+        return self.manager.account(TEAM)
 
     def home_of(self, part: int) -> str | None:
         return None if self.is_home else "entry-0"
 
     def send(self, message: Message, to: Address) -> None:
-        self.world.sent.append(Sent(message, to, self.address))
+        self.fleet.sent.append(Sent(message, to, self.address))
 
     def configure(self, prepaid: int) -> None:
         team = Team(TEAM, prepaid, None)
@@ -178,45 +178,46 @@
                 self.desk.on_fence(message, sender)
             case AttestationMessage():
                 self.witnesses.on_answer(message)
-            case GiftMessage():
+            case TransferMessage():
                 if message.to == self.boot:
                     self.take(message)
 
-    def take(self, message: GiftMessage) -> None:
-        """Take what is new of what another entry says it has handed over."""
+    def take(self, message: TransferMessage) -> None:
+        """Apply the part of a transfer that is new."""
         amount = self.transfers.take(message.boot, message.team, message.transfer)
-        spent = self.world.spent.get(self.boot, 0)
-        self.world.spent[self.boot] = spent - amount
+        spent = self.fleet.spent.get(self.boot, 0)
+        self.fleet.spent[self.boot] = spent - amount
         giver = name_of(Incarnation(message.boot))
-        self.budgets.on_gift(message.team, amount, giver)
+        self.budgets.on_transfer(message.team, amount, giver)
 
     def call(self, amount: int) -> bool:
-        """Reserve for a call; it then is in progress."""
-        self.account.demand(amount, self.world.clock())
+        """Reserve for a call, which is then in progress."""
+        self.account.record_demand(amount, self.fleet.clock())
         if not self.account.reserve(amount):
             return False
         self.outstanding.append(amount)
-        self.world.spent[self.boot] = self.world.spent.get(self.boot, 0) + amount
+        self.fleet.spent[self.boot] = self.fleet.spent.get(self.boot, 0) + amount
         return True
 
     def finish(self, part: float) -> None:
-        """End the oldest call; ``part`` of what it reserved was used."""
+        """End the oldest call; ``part`` of its reservation was used."""
         amount = self.outstanding.pop(0)
         used = int(amount * part)
-        self.world.spent[self.boot] -= amount - used
+        self.fleet.spent[self.boot] -= amount - used
         self.account.settle(amount, used)
 
 
-class MarkWorld:
-    """Entries and what they truly spent; calls in progress count at their most.
+class SimulatedFleet:
+    """Entries and what they have really spent.
 
-    What an entry handed over counts as spent by it, and not by who took it.
+    Calls in progress count with their whole reservation. Transferred tokens count as
+    spent by the giver and not by the receiver.
     """
 
     def __init__(self, entries: int, prepaid: int) -> None:
         self.clock = Clock()
         self.records: list[KeyedRecord] = []
-        self.late: list[Late] = []
+        self.delayed: list[DelayedAppend] = []
         self.directory = Directory()
         self.sent: list[Sent] = []
         self.spent: dict[str, int] = {}
@@ -232,30 +233,30 @@
     def total(self) -> int:
         return sum(self.spent.values())
 
-    def marks(self) -> dict[str, Mark]:
-        """Return the newest mark of each boot in the log."""
+    def quotas(self) -> dict[str, Quota]:
+        """Return the newest quota of each boot in the log."""
         newest = {record.key: record.value for record in self.records}
         return {
-            boot_of(key.removeprefix(f"{TEAM}/")): decode(value, type=Mark)
+            boot_of(key.removeprefix(f"{TEAM}/")): decode(value, type=Quota)
             for key, value in newest.items()
             if key.startswith(f"{TEAM}/")
         }
 
-    def over_marks(self) -> dict[str, int]:
-        """Return by how much each boot, dead or alive, is above its mark."""
-        marks = self.marks()
+    def over_quotas(self) -> dict[str, int]:
+        """Return by how much each boot, dead or alive, exceeds its quota."""
+        quotas = self.quotas()
         return {
             boot: used - ceiling
             for boot, used in self.spent.items()
-            if used > (ceiling := marks[boot].ceiling if boot in marks else 0)
+            if used > (ceiling := quotas[boot].ceiling if boot in quotas else 0)
         }
 
     def commit(self, number: int) -> bool:
-        keeper = self.entries[number].keeper
-        return bool(self.loop.run_until_complete(keeper.commit()))
+        manager = self.entries[number].manager
+        return bool(self.loop.run_until_complete(manager.commit()))
 
     def ping(self) -> None:
-        """Let all entries see one another as witnesses."""
+        """Let all entries see one another as live witnesses."""
         for entry in self.entries:
             for item in self.directory.announcements.values():
                 if item.boot != entry.boot:
@@ -263,7 +264,7 @@
         self.deliver()
 
     def deliver(self, keep: Callable[[Sent], bool] = lambda sent: True) -> None:
-        """Deliver all datagrams, and the answers to them."""
+        """Deliver all datagrams and the answers to them."""
         while self.sent:
             batch, self.sent = self.sent, []
             for item in filter(keep, batch):
@@ -271,13 +272,15 @@
                     if entry.address == item.to:
                         entry.receive(item.message, item.sender)
 
-    def land_late(self) -> None:
+    def execute_delayed(self) -> None:
         """Execute the oldest append whose answer was lost, if it still fits."""
-        late = self.late.pop(0)
-        FakeLog(self.records, self.late, self.clock).execute(late.records, late.at)
+        delayed = self.delayed.pop(0)
+        FakeLog(self.records, self.delayed, self.clock).execute(
+            delayed.records, delayed.at
+        )
 
     def restart(self, number: int) -> None:
-        """Kill an entry and start it anew; it remembers nothing."""
+        """Kill an entry and start a new boot of it without any state."""
         entry = FakeEntry(self, number)
         self.entries[number] = entry
         entry.configure(self.prepaid)
@@ -288,13 +291,15 @@
         self.entries[number].configure(self.prepaid)
 
     def hand_over(self, giver: int, taker: int, amount: int, arrives: bool) -> None:
-        """Let one entry ask another; the answer may get lost."""
+        """Let one entry request tokens from another; the answer may get lost."""
         source, target = self.entries[giver], self.entries[taker]
-        given = source.budgets.on_ask(TEAM, Wish(amount))
+        given = source.budgets.on_request(TEAM, TokenRequest(amount))
         self.spent[source.boot] = self.spent.get(source.boot, 0) + given
         transfer = source.transfers.hand_over(target.boot, TEAM, given)
         if arrives and giver != taker:
             target.receive(
-                GiftMessage(source.boot, target.boot, TEAM, transfer, source.is_home),
+                TransferMessage(
+                    source.boot, target.boot, TEAM, transfer, source.is_home
+                ),
                 source.address,
             )
--- a/tests/unit/relay/test_following.py
+++ b/tests/unit/relay/test_following.py
@@ -12,7 +12,7 @@
     WAIT_FRACTION,
     PartitionReader,
 )
-from tests.unit.relay.mark_world import FakeLog
+from tests.unit.relay.simulated_fleet import FakeLog
 
 WITHIN = 4.0
 SECONDS = 60.0
--- a/tests/unit/relay/test_message_fuzz.py
+++ b/tests/unit/relay/test_message_fuzz.py
@@ -1,4 +1,4 @@
-"""Datagrams that are damaged, forged, late or come twice."""
+"""Tests that damaged, forged, late and repeated datagrams do no harm."""
 
 from asyncio import sleep
 from functools import cache
@@ -9,28 +9,28 @@
 from clementinebend_bench.models.mark_fleet import FleetEntry, MarkFleet
 from clementinebend_bench.models.mark_store import StoreModel
 from clementinebend_bench.models.virtual_loop import run_virtually
-from clementinebend_ledger.mark_gifts import Wish
-from clementinebend_ledger.mark_transfers import Transfer
+from clementinebend_ledger.quota_requests import TokenRequest
+from clementinebend_ledger.quota_transfers import Transfer
 from clementinebend_relay.messages import (
-    AskMessage,
-    BudgetRest,
     EndedMessage,
     EndpointEndedMessage,
     EndpointLeavingMessage,
     EvacuationMessage,
-    GiftMessage,
+    InvalidMessage,
     LeavingMessage,
     Message,
     ProbeMessage,
     QuarantineMessage,
     ReadMessage,
+    RemainingBudget,
+    ReportedRun,
     ReportMessage,
     SentMessage,
     SoundMessage,
-    ToldRun,
-    Unreadable,
-    decoded,
-    encoded,
+    TokenRequestMessage,
+    TransferMessage,
+    decode_message,
+    encode_message,
 )
 from clementinebend_routing.cold_start import PermitLimit
 from clementinebend_routing.endpoint_queue import QueueReport
@@ -71,15 +71,17 @@
     st.builds(SentMessage, names, names, numbers, numbers, parts),
     st.builds(ReadMessage, names, names),
     st.builds(EndedMessage, names, names),
-    st.builds(AskMessage, names, st.just(TEAM), st.builds(Wish, numbers)),
     st.builds(
-        GiftMessage,
+        TokenRequestMessage, names, st.just(TEAM), st.builds(TokenRequest, numbers)
+    ),
+    st.builds(
+        TransferMessage,
         names,
         names,
         st.just(TEAM),
         st.builds(Transfer, numbers, numbers),
         st.booleans(),
-        st.none() | st.builds(BudgetRest, numbers, numbers),
+        st.none() | st.builds(RemainingBudget, numbers, numbers),
         st.floats(),
     ),
     st.builds(
@@ -87,7 +89,9 @@
         names,
         names,
         st.floats(),
-        st.lists(st.builds(ToldRun, fingerprints, st.floats()), max_size=4).map(tuple),
+        st.lists(st.builds(ReportedRun, fingerprints, st.floats()), max_size=4).map(
+            tuple
+        ),
     ),
     st.builds(QuarantineMessage, names, fingerprints, st.tuples(names, names)),
     st.builds(SoundMessage, names, fingerprints),
@@ -98,7 +102,7 @@
 
 @cache
 def sample() -> tuple[bytes, ...]:
-    """Return one datagram of each new kind."""
+    """Return one encoded datagram of each kind under test."""
     report = QueueReport(1, 2, 3, 0.5)
     kinds: tuple[Message, ...] = (
         LeavingMessage("a#1"),
@@ -107,14 +111,16 @@
         SentMessage("e/", "r", 1, 5, (PromptPart("p", 5),)),
         ReadMessage("e/", "r"),
         EndedMessage("e/", "r"),
-        GiftMessage("a#1", "b#1", TEAM, Transfer(1, 5), True, BudgetRest(1, 2)),
-        EndpointEndedMessage("a#1", "e/", 0.5, (ToldRun("a" * 24, 0.7),)),
+        TransferMessage(
+            "a#1", "b#1", TEAM, Transfer(1, 5), True, RemainingBudget(1, 2)
+        ),
+        EndpointEndedMessage("a#1", "e/", 0.5, (ReportedRun("a" * 24, 0.7),)),
         QuarantineMessage("a#1", "a" * 24, ("e/",)),
         SoundMessage("a#1", "a" * 24),
         EndpointLeavingMessage("a#1", "e/"),
         EvacuationMessage("a#1", "z", 7, True),
     )
-    return tuple(map(encoded, kinds))
+    return tuple(map(encode_message, kinds))
 
 
 @given(st.integers(0, 11), st.integers(0, 200), st.binary(max_size=4))
@@ -124,12 +130,12 @@
     whole = sample()[kind]
     place %= len(whole)
     data = whole[:place] + damage + whole[place + len(damage) :]
-    outcome = decoded(data)
-    assert isinstance(outcome, Unreadable | Message)
+    outcome = decode_message(data)
+    assert isinstance(outcome, InvalidMessage | Message)
 
 
-async def take_all(sent: list[Message]) -> FleetEntry:
-    """Return an entry that has taken messages, each of them twice."""
+async def receive_all(sent: list[Message]) -> FleetEntry:
+    """Return an entry that has received messages, each of them twice."""
     fleet = MarkFleet(StoreModel(()), {TEAM: PREPAID})
     for number in range(2):
         fleet.start(number)
@@ -149,7 +155,7 @@
 def test_no_message_ends_an_entry_or_raises_what_it_may_spend(
     sent: list[Message],
 ) -> None:
-    entry = run_virtually(take_all(sent))
-    account = entry.budgets.keepers[0].account(TEAM)
+    entry = run_virtually(receive_all(sent))
+    account = entry.budgets.managers[0].account(TEAM)
     assert account.limit <= PREPAID
     assert account.waiting == 0
--- a/tests/unit/relay/test_quarantine.py
+++ b/tests/unit/relay/test_quarantine.py
@@ -8,8 +8,8 @@
 from clementinebend_relay.messages import (
     EndpointEndedMessage,
     QuarantineMessage,
+    ReportedRun,
     SoundMessage,
-    ToldRun,
 )
 from clementinebend_relay.models import Reason, boot_name
 from clementinebend_relay.quarantine import (
@@ -253,11 +253,15 @@
 
 async def send_invalid_messages(entry: QuarantineEntry) -> None:
     """Send reports of an unknown process, and invalid or late ones of an entry."""
-    foreign = EndpointEndedMessage("entry-9#1", "i-1/", 0.0, (ToldRun(FATAL, 1.0),))
+    foreign = EndpointEndedMessage("entry-9#1", "i-1/", 0.0, (ReportedRun(FATAL, 1.0),))
     entry.sync.on_message(foreign)
     entry.sync.on_message(QuarantineMessage("entry-9#1", FATAL, ()))
     known = entry.boot
-    runs = (ToldRun("x", 1.0), ToldRun(FATAL, -1.0), ToldRun(FATAL, float("nan")))
+    runs = (
+        ReportedRun("x", 1.0),
+        ReportedRun(FATAL, -1.0),
+        ReportedRun(FATAL, float("nan")),
+    )
     for age in (-1.0, 11.0, float("nan"), 0.5):
         entry.sync.on_message(EndpointEndedMessage(known, "i-2/", age, runs))
     entry.sync.on_message(QuarantineMessage(known, "x" * 300, ()))
@@ -282,7 +286,7 @@
     async def main() -> None:
         world = QuarantineWorld(2)
         entry = world.all()[0]
-        runs = (ToldRun(FATAL, 0.2),)
+        runs = (ReportedRun(FATAL, 0.2),)
         for _ in range(5):
             message = EndpointEndedMessage(entry.boot, "i-1/", 0.1, runs)
             entry.sync.on_message(message)
--- a/tests/unit/relay/test_starting_together.py
+++ b/tests/unit/relay/test_starting_together.py
@@ -18,7 +18,7 @@
     patience_after,
 )
 from clementinebend_transport.client_connection import Address
-from tests.unit.relay.mark_world import FakeLog
+from tests.unit.relay.simulated_fleet import FakeLog
 
 STORE = Address("10.0.0.1", 1)
 RECORD = KeyedRecord(0, "config", b"v")
