--- a/libs/bench/src/clementinebend_bench/models/outage_entries.py
+++ b/libs/bench/src/clementinebend_bench/models/outage_entries.py
@@ -39,8 +39,8 @@
 from clementinebend_routing.choice import (
     Candidate,
     NoChoice,
+    RoutingRequest,
     RoutingState,
-    Wanted,
     choose,
     empty_routing,
     on_dispatch,
@@ -258,7 +258,7 @@
 ) -> Step:
     if not isinstance(entry, FleetEntry):
         raise TypeError(f"no fleet entry: {entry!r}")
-    wanted = Wanted(
+    wanted = RoutingRequest(
         request.service, "m", entry.zone, request.blocks, request.prompt, exclude
     )
     routing, outcome = choose(entry.routing, wanted, now)
--- a/libs/bench/src/clementinebend_bench/models/policies.py
+++ b/libs/bench/src/clementinebend_bench/models/policies.py
@@ -13,8 +13,8 @@
 from clementinebend_routing.choice import (
     Candidate,
     NoChoice,
+    RoutingRequest,
     RoutingState,
-    Wanted,
     choose,
     empty_routing,
     on_cache_event,
@@ -146,7 +146,9 @@
 
 @pick.register
 def _(policy: FleetRouting, request: Request, now: float) -> tuple[Policy, str | None]:
-    wanted = Wanted(request.service, "m", policy.zone, request.blocks, request.prompt)
+    wanted = RoutingRequest(
+        request.service, "m", policy.zone, request.blocks, request.prompt
+    )
     state, outcome = choose(policy.state, wanted, now)
     if isinstance(outcome, NoChoice):
         return policy._replace(state=state), None
--- a/libs/entry/src/clementinebend_entry/router.py
+++ b/libs/entry/src/clementinebend_entry/router.py
@@ -13,7 +13,7 @@
     Candidate,
     Choice,
     NoChoice,
-    Wanted,
+    RoutingRequest,
     choose,
     empty_routing,
     on_cache_event,
@@ -106,7 +106,7 @@
             or link.peer.zone == unsafe_zone
             or not self.is_witness(call.budget, link.peer.incarnation)
         )
-        wanted = Wanted(
+        wanted = RoutingRequest(
             call.service,
             call.model,
             self.zone,
--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -28,7 +28,7 @@
     new_endpoint,
     prefill_time,
 )
-from clementinebend_routing.models import Choice, NoChoice, Wanted
+from clementinebend_routing.models import Choice, NoChoice, RoutingRequest
 from clementinebend_routing.outliers import ejection_allowed, is_ejected, on_result
 from clementinebend_routing.prefix import (
     apply_event,
@@ -43,7 +43,7 @@
     "Choice",
     "NoChoice",
     "RoutingState",
-    "Wanted",
+    "RoutingRequest",
     "choose",
     "empty_routing",
     "on_cache_event",
@@ -117,7 +117,7 @@
 
 
 def choose(
-    state: RoutingState, wanted: Wanted, now: float
+    state: RoutingState, wanted: RoutingRequest, now: float
 ) -> tuple[RoutingState, Choice | NoChoice]:
     """Choose an endpoint; call ``on_dispatch`` at once when it is used.
 
@@ -215,7 +215,7 @@
     return known._replace(candidate=candidate)
 
 
-def _fit(state: RoutingState, wanted: Wanted) -> list[str]:
+def _fit(state: RoutingState, wanted: RoutingRequest) -> list[str]:
     return [
         name
         for name in state.names.get(wanted.service, ())
@@ -255,7 +255,7 @@
     state: RoutingState,
     place: int,
     name: str,
-    wanted: Wanted,
+    wanted: RoutingRequest,
     cached: int,
     mean_others: float,
     now: float,
--- a/libs/routing/src/clementinebend_routing/models.py
+++ b/libs/routing/src/clementinebend_routing/models.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Wanted(NamedTuple):
+class RoutingRequest(NamedTuple):
     """What a request needs; ``tokens`` is the length of its prompt.
 
     An empty ``model`` is a plain service. ``prefix_blocks`` are the names of
--- a/tests/unit/routing/test_choice.py
+++ b/tests/unit/routing/test_choice.py
@@ -6,8 +6,8 @@
     Candidate,
     Choice,
     NoChoice,
+    RoutingRequest,
     RoutingState,
-    Wanted,
     choose,
     empty_routing,
     on_cache_event,
@@ -19,7 +19,7 @@
     stale_maps,
 )
 
-WANTED = Wanted("shared", "m", "a", (), 256)
+WANTED = RoutingRequest("shared", "m", "a", (), 256)
 LATE = 100.0
 
 
@@ -36,7 +36,7 @@
     return fields._replace(**changes)  # type: ignore[arg-type]
 
 
-def chosen(state: RoutingState, wanted: Wanted = WANTED) -> str | None:
+def chosen(state: RoutingState, wanted: RoutingRequest = WANTED) -> str | None:
     _, outcome = choose(state, wanted, LATE)
     return outcome.endpoint if isinstance(outcome, Choice) else None
 
--- a/tests/unit/routing/test_stateful_choice.py
+++ b/tests/unit/routing/test_stateful_choice.py
@@ -16,7 +16,7 @@
     Candidate,
     Choice,
     NoChoice,
-    Wanted,
+    RoutingRequest,
     choose,
     empty_routing,
     on_cache_event,
@@ -103,7 +103,7 @@
 
     @rule(exclude=st.frozensets(names, max_size=4), wanted_blocks=blocks)
     def choose(self, exclude: frozenset[str], wanted_blocks: tuple[str, ...]) -> None:
-        wanted = Wanted("shared", "m", "a", wanted_blocks, 100, exclude)
+        wanted = RoutingRequest("shared", "m", "a", wanted_blocks, 100, exclude)
         self.state, outcome = choose(self.state, wanted, self.now)
         fit = {
             name
