--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -117,14 +117,14 @@
 
 
 def choose(
-    state: RoutingState, wanted: RoutingRequest, now: float
+    state: RoutingState, request: RoutingRequest, now: float
 ) -> tuple[RoutingState, Choice | NoChoice]:
     """Choose an endpoint; call ``on_dispatch`` at once when it is used.
 
     A leaving, unusable or excluded endpoint is never chosen; an ejected one
     only when all others are out.
     """
-    fit = _fit(state, wanted)
+    fit = _fit(state, request)
     open_names = [
         name for name in fit if not is_ejected(state.endpoints[name].health, now)
     ]
@@ -132,17 +132,17 @@
     if not names:
         return state, NoChoice(UNAVAILABLE_RETRY_MS)
     cached = {
-        name: cached_blocks(state.endpoints[name].prefix, wanted.prefix_blocks, now)
+        name: cached_blocks(state.endpoints[name].prefix, request.prefix_blocks, now)
         for name in names
     }
     others = _mean_others(state, names)
     state, considered = _considered(state, names, cached)
     best = min(
-        _score(state, place, name, wanted, cached[name], others, now)
+        _score(state, place, name, request, cached[name], others, now)
         for place, name in enumerate(considered)
     )
     chosen = state.endpoints[best.endpoint]
-    remember_dispatch(chosen.prefix, wanted.prefix_blocks, now)
+    remember_dispatch(chosen.prefix, request.prefix_blocks, now)
     return state, Choice(best.endpoint, best.seconds, best.uncached)
 
 
@@ -215,11 +215,11 @@
     return known._replace(candidate=candidate)
 
 
-def _fit(state: RoutingState, wanted: RoutingRequest) -> list[str]:
+def _fit(state: RoutingState, request: RoutingRequest) -> list[str]:
     return [
         name
-        for name in state.names.get(wanted.service, ())
-        if name not in wanted.exclude and _serves(state.endpoints[name], wanted.model)
+        for name in state.names.get(request.service, ())
+        if name not in request.exclude and _serves(state.endpoints[name], request.model)
     ]
 
 
@@ -255,18 +255,18 @@
     state: RoutingState,
     place: int,
     name: str,
-    wanted: RoutingRequest,
+    request: RoutingRequest,
     cached: int,
     mean_others: float,
     now: float,
 ) -> Scored:
     endpoint = state.endpoints[name]
-    blocks = max(1, len(wanted.prefix_blocks))
-    uncached = round(wanted.tokens * (1 - cached / blocks))
+    blocks = max(1, len(request.prefix_blocks))
+    uncached = round(request.tokens * (1 - cached / blocks))
     seconds = expected_wait(endpoint, mean_others, now)
     seconds += prefill_time(endpoint, uncached)
     seconds /= started_share(endpoint.started_at, now)
-    if endpoint.candidate.zone != wanted.zone:
+    if endpoint.candidate.zone != request.zone:
         seconds += OTHER_ZONE_COST
     return Scored(seconds, place, name, uncached)
 
--- a/tests/unit/routing/test_choice.py
+++ b/tests/unit/routing/test_choice.py
@@ -19,7 +19,7 @@
     stale_maps,
 )
 
-WANTED = RoutingRequest("shared", "m", "a", (), 256)
+REQUEST = RoutingRequest("shared", "m", "a", (), 256)
 LATE = 100.0
 
 
@@ -36,8 +36,8 @@
     return fields._replace(**changes)  # type: ignore[arg-type]
 
 
-def chosen(state: RoutingState, wanted: RoutingRequest = WANTED) -> str | None:
-    _, outcome = choose(state, wanted, LATE)
+def chosen(state: RoutingState, request: RoutingRequest = REQUEST) -> str | None:
+    _, outcome = choose(state, request, LATE)
     return outcome.endpoint if isinstance(outcome, Choice) else None
 
 
@@ -62,11 +62,11 @@
     state = router("a", "a", "a")
     blocks = tuple(f"b{number}" for number in range(100))
     state = on_cache_event(state, CacheEvent("e2", 1, blocks, ()), LATE)
-    wanted = WANTED._replace(prefix_blocks=blocks, tokens=2560)
-    assert chosen(state, wanted) == "e2"
+    request = REQUEST._replace(prefix_blocks=blocks, tokens=2560)
+    assert chosen(state, request) == "e2"
     for name, running in (("e0", 0), ("e1", 0), ("e2", 30)):
         state = on_load_report(state, report(name, running), LATE)
-    assert chosen(state, wanted) != "e2"
+    assert chosen(state, request) != "e2"
 
 
 def test_a_gap_in_cache_events_drops_the_map_until_a_resync() -> None:
@@ -86,9 +86,9 @@
     state = router("a", "a")
     state = on_load_report(state, report("e0", 0, leaving=True), LATE)
     assert chosen(state) == "e1"
-    excluded = WANTED._replace(exclude=frozenset({"e1"}))
+    excluded = REQUEST._replace(exclude=frozenset({"e1"}))
     assert isinstance(choose(state, excluded, LATE)[1], NoChoice)
-    assert chosen(state, WANTED._replace(model="other")) is None
+    assert chosen(state, REQUEST._replace(model="other")) is None
 
 
 def test_failures_eject_a_bounded_share_and_time_brings_it_back() -> None:
@@ -99,11 +99,11 @@
             state = on_finish(state, name, f"{name}{number}", False, 0.1, LATE)
     choices = set()
     for _ in range(300):
-        state, choice = choose(state, WANTED, LATE)
+        state, choice = choose(state, REQUEST, LATE)
         assert isinstance(choice, Choice)
         choices.add(choice.endpoint)
     assert choices == {f"e{number}" for number in range(3, 9)}
-    _, later = choose(state, WANTED, LATE + 1000)
+    _, later = choose(state, REQUEST, LATE + 1000)
     assert isinstance(later, Choice)
 
 
@@ -115,7 +115,7 @@
     for name, running in (("e0", 0), ("e1", 1_000), ("e2", 1_000)):
         state = on_load_report(state, report(name, running), LATE)
     assert chosen(state) in ("e1", "e2")
-    only = WANTED._replace(exclude=frozenset({"e1", "e2"}))
+    only = REQUEST._replace(exclude=frozenset({"e1", "e2"}))
     assert chosen(state, only) == "e0"
 
 
@@ -123,7 +123,7 @@
     state = router("a", "a")
     state = on_load_report(state, report("e0", 0, sequence=2, leaving=True), LATE)
     state = on_load_report(state, report("e0", 0, sequence=1), LATE)
-    assert chosen(state, WANTED._replace(exclude=frozenset({"e1"}))) is None
+    assert chosen(state, REQUEST._replace(exclude=frozenset({"e1"}))) is None
 
 
 def test_the_same_seed_gives_the_same_choices() -> None:
@@ -131,7 +131,7 @@
         state = router(*"abcabc")
         outcomes = []
         for number in range(20):
-            state, outcome = choose(state, WANTED, LATE + number)
+            state, outcome = choose(state, REQUEST, LATE + number)
             outcomes.append(outcome)
         return outcomes
 
--- a/tests/unit/routing/test_placement.py
+++ b/tests/unit/routing/test_placement.py
@@ -71,10 +71,10 @@
     state = empty_placement(PLENTY, 0.0)
     state, orders = plan_placement(state, needs, rooms, 0.0)
     after = carry_out(rooms, orders)
-    wanted = {need.model for need in needs if need.demand > 0}
-    assert placed(rooms) & wanted <= placed(after)
-    if sum(room.places for room in rooms) >= len(wanted):
-        assert wanted <= placed(after)
+    request = {need.model for need in needs if need.demand > 0}
+    assert placed(rooms) & request <= placed(after)
+    if sum(room.places for room in rooms) >= len(request):
+        assert request <= placed(after)
     assert plan_placement(state, needs, after, 1.0)[1] == ()
 
 
--- a/tests/unit/routing/test_stateful_choice.py
+++ b/tests/unit/routing/test_stateful_choice.py
@@ -101,10 +101,10 @@
         )
         self.state = on_load_report(self.state, report, self.now)
 
-    @rule(exclude=st.frozensets(names, max_size=4), wanted_blocks=blocks)
-    def choose(self, exclude: frozenset[str], wanted_blocks: tuple[str, ...]) -> None:
-        wanted = RoutingRequest("shared", "m", "a", wanted_blocks, 100, exclude)
-        self.state, outcome = choose(self.state, wanted, self.now)
+    @rule(exclude=st.frozensets(names, max_size=4), request_blocks=blocks)
+    def choose(self, exclude: frozenset[str], request_blocks: tuple[str, ...]) -> None:
+        request = RoutingRequest("shared", "m", "a", request_blocks, 100, exclude)
+        self.state, outcome = choose(self.state, request, self.now)
         fit = {
             name
             for name in NAMES
@@ -117,7 +117,7 @@
         assert outcome.endpoint in fit
         healthy = {name for name in fit if not self.is_ejected(name)}
         assert outcome.endpoint in healthy or not healthy
-        assert 0 <= outcome.uncached <= wanted.tokens
+        assert 0 <= outcome.uncached <= request.tokens
         self.dispatch(outcome)
 
     def dispatch(self, choice: Choice) -> None:
