--- a/libs/bench/src/clementinebend_bench/models/outage_entries.py
+++ b/libs/bench/src/clementinebend_bench/models/outage_entries.py
@@ -38,7 +38,7 @@
 from clementinebend_records.messages import LoadReport
 from clementinebend_routing.choice import (
     Candidate,
-    NoChoice,
+    NoEndpoint,
     RoutingRequest,
     RoutingState,
     choose,
@@ -263,7 +263,7 @@
     )
     routing, outcome = choose(entry.routing, wanted, now)
     entry = entry._replace(routing=routing)
-    if isinstance(outcome, NoChoice):
+    if isinstance(outcome, NoEndpoint):
         return _give_back(entry, request.request, outcome.retry_after_ms, now)
     routing = on_dispatch(
         routing, outcome.endpoint, request.request, now, outcome.uncached
--- a/libs/bench/src/clementinebend_bench/models/policies.py
+++ b/libs/bench/src/clementinebend_bench/models/policies.py
@@ -12,7 +12,7 @@
 from clementinebend_records.messages import CacheEvent, LoadReport
 from clementinebend_routing.choice import (
     Candidate,
-    NoChoice,
+    NoEndpoint,
     RoutingRequest,
     RoutingState,
     choose,
@@ -150,7 +150,7 @@
         request.service, "m", policy.zone, request.blocks, request.prompt
     )
     state, outcome = choose(policy.state, wanted, now)
-    if isinstance(outcome, NoChoice):
+    if isinstance(outcome, NoEndpoint):
         return policy._replace(state=state), None
     state = on_dispatch(state, outcome.endpoint, request.request, now, outcome.uncached)
     return policy._replace(state=state), outcome.endpoint
--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -27,7 +27,7 @@
 from clementinebend_entry.sidecar_link import SidecarLink
 from clementinebend_records.messages import RunCancel, Ticket
 from clementinebend_records.reasons import NotRun
-from clementinebend_routing.choice import Choice, NoChoice
+from clementinebend_routing.choice import Choice, NoEndpoint
 
 logger = getLogger(__name__)
 
@@ -94,7 +94,7 @@
             return
         unsafe = self.services.receipts.unsafe_zone(self.call)
         chosen = self.services.router.choose(self.call, self.exclude, unsafe)
-        if isinstance(chosen, NoChoice):
+        if isinstance(chosen, NoEndpoint):
             if await self.is_scope_coming():
                 return
             reason = NotRun.LOG_UNAVAILABLE if unsafe else NotRun.NO_ENDPOINT
--- a/libs/entry/src/clementinebend_entry/router.py
+++ b/libs/entry/src/clementinebend_entry/router.py
@@ -12,7 +12,7 @@
 from clementinebend_routing.choice import (
     Candidate,
     Choice,
-    NoChoice,
+    NoEndpoint,
     RoutingRequest,
     choose,
     empty_routing,
@@ -94,7 +94,7 @@
 
     def choose(
         self, call: Call, exclude: frozenset[str], unsafe_zone: str
-    ) -> tuple[SidecarLink, Choice] | NoChoice:
+    ) -> tuple[SidecarLink, Choice] | NoEndpoint:
         """Choose an endpoint for a call whose sidecar may spend its budget.
 
         None of ``unsafe_zone`` is chosen: a receipt could not be kept twice.
@@ -115,7 +115,7 @@
             exclude | outside,
         )
         self.state, choice = choose(self.state, wanted, monotonic())
-        if isinstance(choice, NoChoice):
+        if isinstance(choice, NoEndpoint):
             return choice
         return self.pool.links[choice.endpoint], choice
 
--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -28,7 +28,7 @@
     new_endpoint,
     prefill_time,
 )
-from clementinebend_routing.models import Choice, NoChoice, RoutingRequest
+from clementinebend_routing.models import Choice, NoEndpoint, RoutingRequest
 from clementinebend_routing.outliers import ejection_allowed, is_ejected, on_result
 from clementinebend_routing.prefix import (
     apply_event,
@@ -41,7 +41,7 @@
 __all__ = [
     "Candidate",
     "Choice",
-    "NoChoice",
+    "NoEndpoint",
     "RoutingState",
     "RoutingRequest",
     "choose",
@@ -118,7 +118,7 @@
 
 def choose(
     state: RoutingState, request: RoutingRequest, now: float
-) -> tuple[RoutingState, Choice | NoChoice]:
+) -> tuple[RoutingState, Choice | NoEndpoint]:
     """Choose an endpoint; call ``on_dispatch`` at once when it is used.
 
     A leaving, unusable or excluded endpoint is never chosen; an ejected one
@@ -130,7 +130,7 @@
     ]
     names = open_names or fit
     if not names:
-        return state, NoChoice(UNAVAILABLE_RETRY_MS)
+        return state, NoEndpoint(UNAVAILABLE_RETRY_MS)
     cached = {
         name: cached_blocks(state.endpoints[name].prefix, request.prefix_blocks, now)
         for name in names
--- a/libs/routing/src/clementinebend_routing/models.py
+++ b/libs/routing/src/clementinebend_routing/models.py
@@ -29,7 +29,7 @@
     uncached: int = 0
 
 
-class NoChoice(NamedTuple):
+class NoEndpoint(NamedTuple):
     """No endpoint can take the request now."""
 
     retry_after_ms: int
--- a/tests/unit/routing/test_choice.py
+++ b/tests/unit/routing/test_choice.py
@@ -5,7 +5,7 @@
 from clementinebend_routing.choice import (
     Candidate,
     Choice,
-    NoChoice,
+    NoEndpoint,
     RoutingRequest,
     RoutingState,
     choose,
@@ -87,7 +87,7 @@
     state = on_load_report(state, report("e0", 0, leaving=True), LATE)
     assert chosen(state) == "e1"
     excluded = REQUEST._replace(exclude=frozenset({"e1"}))
-    assert isinstance(choose(state, excluded, LATE)[1], NoChoice)
+    assert isinstance(choose(state, excluded, LATE)[1], NoEndpoint)
     assert chosen(state, REQUEST._replace(model="other")) is None
 
 
@@ -127,7 +127,7 @@
 
 
 def test_the_same_seed_gives_the_same_choices() -> None:
-    def choices() -> list[Choice | NoChoice]:
+    def choices() -> list[Choice | NoEndpoint]:
         state = router(*"abcabc")
         outcomes = []
         for number in range(20):
--- a/tests/unit/routing/test_stateful_choice.py
+++ b/tests/unit/routing/test_stateful_choice.py
@@ -15,7 +15,7 @@
 from clementinebend_routing.choice import (
     Candidate,
     Choice,
-    NoChoice,
+    NoEndpoint,
     RoutingRequest,
     choose,
     empty_routing,
@@ -110,7 +110,7 @@
             for name in NAMES
             if self.usable[name] and not self.leaving[name] and name not in exclude
         }
-        if isinstance(outcome, NoChoice):
+        if isinstance(outcome, NoEndpoint):
             assert not fit
             assert outcome.retry_after_ms > 0
             return
