--- a/libs/bench/src/clementinebend_bench/models/policies.py
+++ b/libs/bench/src/clementinebend_bench/models/policies.py
@@ -17,13 +17,13 @@
     RoutingState,
     choose,
     empty_routing,
+    endpoints_to_resync,
     on_cache_event,
     on_cache_snapshot,
     on_dispatch,
     on_finish,
     on_load_report,
     set_endpoints,
-    stale_maps,
 )
 
 
@@ -199,7 +199,7 @@
 
 def maps_to_resync(policy: Policy) -> tuple[str, ...]:
     """Return the endpoints whose cache the policy wants to be told of anew."""
-    return stale_maps(policy.state) if isinstance(policy, FleetRouting) else ()
+    return endpoints_to_resync(policy.state) if isinstance(policy, FleetRouting) else ()
 
 
 def _names(candidates: tuple[Candidate, ...]) -> dict[str, tuple[str, ...]]:
--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -52,7 +52,7 @@
     "on_finish",
     "on_load_report",
     "set_endpoints",
-    "stale_maps",
+    "endpoints_to_resync",
 ]
 
 DRAWN = 8
@@ -180,7 +180,7 @@
 
 
 def on_cache_event(state: RoutingState, event: CacheEvent, now: float) -> RoutingState:
-    """Take a cache event; see ``stale_maps`` for what to do after a gap."""
+    """Take a cache event; see ``endpoints_to_resync`` for what to do after a gap."""
     known = state.endpoints.get(event.endpoint)
     if known is not None:
         prefix = apply_event(known.prefix, event.sequence, event.stored, event.evicted)
@@ -199,10 +199,10 @@
     return state
 
 
-def stale_maps(state: RoutingState) -> tuple[str, ...]:
+def endpoints_to_resync(state: RoutingState) -> tuple[str, ...]:
     """Return the endpoints whose cache map has gaps and needs a resync."""
     return tuple(
-        name for name, item in state.endpoints.items() if item.prefix.distrusted
+        name for name, item in state.endpoints.items() if item.prefix.needs_resync
     )
 
 
--- a/libs/routing/src/clementinebend_routing/prefix.py
+++ b/libs/routing/src/clementinebend_routing/prefix.py
@@ -36,7 +36,7 @@
     stored: dict[str, None]
     dispatched: dict[str, float]
     next_sequence: int | None = None
-    distrusted: bool = False
+    needs_resync: bool = False
 
 
 def empty_prefix_map() -> PrefixMap:
@@ -97,7 +97,7 @@
     prefix.stored.update(dict.fromkeys(stored))
     _drop_oldest(prefix.stored, EVENT_BLOCK_LIMIT)
     return prefix._replace(
-        next_sequence=sequence + 1, distrusted=prefix.distrusted or missed
+        next_sequence=sequence + 1, needs_resync=prefix.needs_resync or missed
     )
 
 
@@ -111,7 +111,7 @@
 
 def forget(prefix: PrefixMap) -> PrefixMap:
     """Return the map of an engine that has lost its cache."""
-    return PrefixMap({}, {}, None, prefix.distrusted)
+    return PrefixMap({}, {}, None, prefix.needs_resync)
 
 
 def _drop_oldest(blocks: dict[str, None] | dict[str, float], limit: int) -> None:
--- a/tests/unit/routing/test_choice.py
+++ b/tests/unit/routing/test_choice.py
@@ -10,13 +10,13 @@
     RoutingState,
     choose,
     empty_routing,
+    endpoints_to_resync,
     on_cache_event,
     on_cache_snapshot,
     on_dispatch,
     on_finish,
     on_load_report,
     set_endpoints,
-    stale_maps,
 )
 
 REQUEST = RoutingRequest("shared", "m", "a", (), 256)
@@ -72,12 +72,12 @@
 def test_a_gap_in_cache_events_drops_the_map_until_a_resync() -> None:
     state = router("a", "a")
     state = on_cache_event(state, CacheEvent("e1", 1, ("x",), ()), LATE)
-    assert stale_maps(state) == ()
+    assert endpoints_to_resync(state) == ()
     state = on_cache_event(state, CacheEvent("e1", 3, ("y",), ()), LATE)
-    assert stale_maps(state) == ("e1",)
+    assert endpoints_to_resync(state) == ("e1",)
     assert list(state.endpoints["e1"].prefix.stored) == ["y"]
     state = on_cache_snapshot(state, "e1", 3, ("x", "y"))
-    assert stale_maps(state) == ()
+    assert endpoints_to_resync(state) == ()
     state = on_cache_event(state, CacheEvent("e1", 4, (), ("x",)), LATE)
     assert list(state.endpoints["e1"].prefix.stored) == ["y"]
 
--- a/tests/unit/routing/test_stateful_choice.py
+++ b/tests/unit/routing/test_stateful_choice.py
@@ -19,13 +19,13 @@
     RoutingRequest,
     choose,
     empty_routing,
+    endpoints_to_resync,
     on_cache_event,
     on_cache_snapshot,
     on_dispatch,
     on_finish,
     on_load_report,
     set_endpoints,
-    stale_maps,
 )
 from clementinebend_routing.outliers import is_ejected
 
@@ -158,7 +158,7 @@
 
     @rule()
     def resync(self) -> None:
-        for name in stale_maps(self.state):
+        for name in endpoints_to_resync(self.state):
             self.state = on_cache_snapshot(
                 self.state, name, self.events[name], sorted(self.caches[name])
             )
@@ -185,7 +185,7 @@
         for name, endpoint in self.state.endpoints.items():
             prefix = endpoint.prefix
             whole = prefix.next_sequence == self.events[name] + 1
-            if whole and not prefix.distrusted:
+            if whole and not prefix.needs_resync:
                 assert set(prefix.stored) == self.caches[name]
 
     def is_ejected(self, name: str) -> bool:
