--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -55,13 +55,13 @@
     "endpoints_to_resync",
 ]
 
-DRAWN = 8
+RANDOM_CANDIDATES = 8
 """Endpoints drawn at random for each choice."""
 
-PREFIX_HOLDERS = 2
+PREFIX_CANDIDATES = 2
 """Endpoints with the longest cached prefix that are scored beside them."""
 
-OTHER_ZONE_COST = 0.002
+CROSS_ZONE_SECONDS = 0.002
 """Seconds that another availability zone adds."""
 
 UNAVAILABLE_RETRY_MS = 1_000
@@ -244,8 +244,8 @@
 def _considered(
     state: RoutingState, names: Sequence[str], cached: dict[str, int]
 ) -> tuple[RoutingState, tuple[str, ...]]:
-    draw, drawn = draw_names(state.draw, names, DRAWN)
-    holders = sorted(names, key=lambda name: -cached[name])[:PREFIX_HOLDERS]
+    draw, drawn = draw_names(state.draw, names, RANDOM_CANDIDATES)
+    holders = sorted(names, key=lambda name: -cached[name])[:PREFIX_CANDIDATES]
     cached_at = (name for name in holders if cached[name])
     considered = dict.fromkeys(chain(drawn, cached_at))
     return state._replace(draw=draw), tuple(considered)
@@ -267,7 +267,7 @@
     seconds += prefill_time(endpoint, uncached)
     seconds /= started_share(endpoint.started_at, now)
     if endpoint.candidate.zone != request.zone:
-        seconds += OTHER_ZONE_COST
+        seconds += CROSS_ZONE_SECONDS
     return Scored(seconds, place, name, uncached)
 
 
