--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -71,22 +71,22 @@
 class RoutingState(NamedTuple):
     """All that one router knows of its endpoints.
 
-    ``draw`` is the state of the random draws; ``names`` are by service.
+    ``random_state`` is the state of the random draws; ``names`` are by service.
     """
 
-    draw: int
+    random_state: int
     endpoints: dict[str, EndpointState]
     names: dict[str, tuple[str, ...]]
 
 
-class Scored(NamedTuple):
+class ScoredEndpoint(NamedTuple):
     """An endpoint's expected time to first token.
 
-    Of equal ones the first drawn is taken, so ``place`` stands before the name.
+    Of equal ones the first drawn is taken, so ``position`` stands before the name.
     """
 
     seconds: float
-    place: int
+    position: int
     endpoint: str
     uncached: int
 
@@ -124,11 +124,11 @@
     A leaving, unusable or excluded endpoint is never chosen; an ejected one
     only when all others are out.
     """
-    fit = _fit(state, request)
-    open_names = [
-        name for name in fit if not is_ejected(state.endpoints[name].health, now)
+    eligible = _eligible_endpoints(state, request)
+    not_ejected = [
+        name for name in eligible if not is_ejected(state.endpoints[name].health, now)
     ]
-    names = open_names or fit
+    names = not_ejected or eligible
     if not names:
         return state, NoEndpoint(UNAVAILABLE_RETRY_MS)
     cached = {
@@ -136,10 +136,10 @@
         for name in names
     }
     others = _mean_others(state, names)
-    state, considered = _considered(state, names, cached)
+    state, selected = _select_candidates(state, names, cached)
     best = min(
-        _score(state, place, name, request, cached[name], others, now)
-        for place, name in enumerate(considered)
+        _score(state, position, name, request, cached[name], others, now)
+        for position, name in enumerate(selected)
     )
     chosen = state.endpoints[best.endpoint]
     remember_dispatch(chosen.prefix, request.prefix_blocks, now)
@@ -215,7 +215,7 @@
     return known._replace(candidate=candidate)
 
 
-def _fit(state: RoutingState, request: RoutingRequest) -> list[str]:
+def _eligible_endpoints(state: RoutingState, request: RoutingRequest) -> list[str]:
     return [
         name
         for name in state.names.get(request.service, ())
@@ -241,25 +241,27 @@
     return sum(others) / len(others) if others else 0.0
 
 
-def _considered(
+def _select_candidates(
     state: RoutingState, names: Sequence[str], cached: dict[str, int]
 ) -> tuple[RoutingState, tuple[str, ...]]:
-    draw, drawn = draw_names(state.draw, names, RANDOM_CANDIDATES)
+    random_state, random_names = draw_names(
+        state.random_state, names, RANDOM_CANDIDATES
+    )
     holders = sorted(names, key=lambda name: -cached[name])[:PREFIX_CANDIDATES]
     cached_at = (name for name in holders if cached[name])
-    considered = dict.fromkeys(chain(drawn, cached_at))
-    return state._replace(draw=draw), tuple(considered)
+    selected = dict.fromkeys(chain(random_names, cached_at))
+    return state._replace(random_state=random_state), tuple(selected)
 
 
 def _score(
     state: RoutingState,
-    place: int,
+    position: int,
     name: str,
     request: RoutingRequest,
     cached: int,
     mean_others: float,
     now: float,
-) -> Scored:
+) -> ScoredEndpoint:
     endpoint = state.endpoints[name]
     blocks = max(1, len(request.prefix_blocks))
     uncached = round(request.tokens * (1 - cached / blocks))
@@ -268,7 +270,7 @@
     seconds /= started_share(endpoint.started_at, now)
     if endpoint.candidate.zone != request.zone:
         seconds += CROSS_ZONE_SECONDS
-    return Scored(seconds, place, name, uncached)
+    return ScoredEndpoint(seconds, position, name, uncached)
 
 
 def _may_eject(state: RoutingState, service: str, now: float) -> bool:
