--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -135,10 +135,10 @@
         name: cached_blocks(state.endpoints[name].prefix, request.prefix_blocks, now)
         for name in names
     }
-    others = _mean_others(state, names)
+    other_runs = _mean_other_runs(state, names)
     state, selected = _select_candidates(state, names, cached)
     best = min(
-        _score(state, position, name, request, cached[name], others, now)
+        _score(state, position, name, request, cached[name], other_runs, now)
         for position, name in enumerate(selected)
     )
     chosen = state.endpoints[best.endpoint]
@@ -232,13 +232,13 @@
     return report is not None and model in report.models
 
 
-def _mean_others(state: RoutingState, names: Sequence[str]) -> float:
-    others = [
-        state.endpoints[name].others
+def _mean_other_runs(state: RoutingState, names: Sequence[str]) -> float:
+    other_runs = [
+        state.endpoints[name].other_runs
         for name in names
         if state.endpoints[name].report is not None
     ]
-    return sum(others) / len(others) if others else 0.0
+    return sum(other_runs) / len(other_runs) if other_runs else 0.0
 
 
 def _select_candidates(
@@ -259,13 +259,13 @@
     name: str,
     request: RoutingRequest,
     cached: int,
-    mean_others: float,
+    mean_other_runs: float,
     now: float,
 ) -> ScoredEndpoint:
     endpoint = state.endpoints[name]
     blocks = max(1, len(request.prefix_blocks))
     uncached = round(request.tokens * (1 - cached / blocks))
-    seconds = expected_wait(endpoint, mean_others, now)
+    seconds = expected_wait(endpoint, mean_other_runs, now)
     seconds += prefill_time(endpoint, uncached)
     seconds /= started_share(endpoint.started_at, now)
     if endpoint.candidate.zone != request.zone:
--- a/libs/routing/src/clementinebend_routing/endpoints.py
+++ b/libs/routing/src/clementinebend_routing/endpoints.py
@@ -53,7 +53,7 @@
 class EndpointState(NamedTuple):
     """Knowledge of one endpoint.
 
-    ``others`` is the number of runs that others had there at the last report;
+    ``other_runs`` is the number of runs that others had there at the last report;
     ``prefill_until`` is when the own prompts dispatched so far are worked
     through; ``latency`` is a moving average over whole runs.
     """
@@ -65,7 +65,7 @@
     health: Health = Health()
     report: LoadReport | None = None
     reported_at: float = 0.0
-    others: float = 0.0
+    other_runs: float = 0.0
     latency: float = DEFAULT_LATENCY
     latency_samples: int = 0
     prefill_until: float = 0.0
@@ -112,8 +112,8 @@
         for own in endpoint.own.values()
         if own.dispatched_at < now - ASSUMED_REPORT_LAG
     )
-    others = max(0.0, float(report.running + report.queued - seen))
-    return endpoint._replace(report=report, reported_at=now, others=others)
+    other_runs = max(0.0, float(report.running + report.queued - seen))
+    return endpoint._replace(report=report, reported_at=now, other_runs=other_runs)
 
 
 def slots_of(endpoint: EndpointState) -> int:
@@ -135,18 +135,18 @@
     return uncached / TOKENS_PER_STEP * step_of(endpoint)
 
 
-def expected_runs(endpoint: EndpointState, mean_others: float, now: float) -> float:
+def expected_runs(endpoint: EndpointState, mean_other_runs: float, now: float) -> float:
     """Return the runs expected on the endpoint now, own ones and others."""
     if endpoint.report is None:
-        return len(endpoint.own) + mean_others
+        return len(endpoint.own) + mean_other_runs
     weight: float = 0.5 ** ((now - endpoint.reported_at) / REPORT_HALF_LIFE)
-    others = weight * endpoint.others + (1 - weight) * mean_others
-    return len(endpoint.own) + others
+    other_runs = weight * endpoint.other_runs + (1 - weight) * mean_other_runs
+    return len(endpoint.own) + other_runs
 
 
-def expected_wait(endpoint: EndpointState, mean_others: float, now: float) -> float:
+def expected_wait(endpoint: EndpointState, mean_other_runs: float, now: float) -> float:
     """Return the seconds until a new request would get its first step."""
-    runs = expected_runs(endpoint, mean_others, now)
+    runs = expected_runs(endpoint, mean_other_runs, now)
     slots = slots_of(endpoint)
     slot_wait = max(0.0, runs + 1 - slots) * endpoint.latency / slots
     prefill_wait = max(0.0, endpoint.prefill_until - now)
