--- a/libs/routing/src/clementinebend_routing/endpoints.py
+++ b/libs/routing/src/clementinebend_routing/endpoints.py
@@ -24,8 +24,8 @@
 """Dispatches this long before a report arrives are taken as not yet in it."""
 
 DEFAULT_SLOTS = 16
-DEFAULT_STEP = 0.01
-DEFAULT_LATENCY = 1.0
+DEFAULT_STEP_SECONDS = 0.01
+DEFAULT_LATENCY_SECONDS = 1.0
 
 TOKENS_PER_STEP = 256
 """Prompt tokens that an engine works through in one step."""
@@ -66,7 +66,7 @@
     report: LoadReport | None = None
     reported_at: float = 0.0
     other_runs: float = 0.0
-    latency: float = DEFAULT_LATENCY
+    latency: float = DEFAULT_LATENCY_SECONDS
     latency_samples: int = 0
     prefill_until: float = 0.0
 
@@ -107,32 +107,32 @@
             return endpoint
     elif last is not None:
         endpoint = endpoint._replace(prefix=forget(endpoint.prefix), started_at=now)
-    seen = sum(
+    already_reported = sum(
         1
         for own in endpoint.own.values()
         if own.dispatched_at < now - ASSUMED_REPORT_LAG
     )
-    other_runs = max(0.0, float(report.running + report.queued - seen))
+    other_runs = max(0.0, float(report.running + report.queued - already_reported))
     return endpoint._replace(report=report, reported_at=now, other_runs=other_runs)
 
 
-def slots_of(endpoint: EndpointState) -> int:
+def slot_count(endpoint: EndpointState) -> int:
     """Return how many requests the endpoint runs at one time."""
     if endpoint.report is None or endpoint.report.slots < 1:
         return DEFAULT_SLOTS
     return endpoint.report.slots
 
 
-def step_of(endpoint: EndpointState) -> float:
+def step_seconds(endpoint: EndpointState) -> float:
     """Return the seconds that one step of the endpoint takes."""
     if endpoint.report is None or endpoint.report.step_ms <= 0:
-        return DEFAULT_STEP
+        return DEFAULT_STEP_SECONDS
     return endpoint.report.step_ms / 1000
 
 
 def prefill_time(endpoint: EndpointState, uncached: int) -> float:
     """Return the seconds that ``uncached`` prompt tokens take."""
-    return uncached / TOKENS_PER_STEP * step_of(endpoint)
+    return uncached / TOKENS_PER_STEP * step_seconds(endpoint)
 
 
 def expected_runs(endpoint: EndpointState, mean_other_runs: float, now: float) -> float:
@@ -147,7 +147,7 @@
 def expected_wait(endpoint: EndpointState, mean_other_runs: float, now: float) -> float:
     """Return the seconds until a new request would get its first step."""
     runs = expected_runs(endpoint, mean_other_runs, now)
-    slots = slots_of(endpoint)
+    slots = slot_count(endpoint)
     slot_wait = max(0.0, runs + 1 - slots) * endpoint.latency / slots
     prefill_wait = max(0.0, endpoint.prefill_until - now)
-    return max(slot_wait, prefill_wait) + runs / slots * step_of(endpoint)
+    return max(slot_wait, prefill_wait) + runs / slots * step_seconds(endpoint)
