--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -34,7 +34,7 @@
     apply_event,
     apply_snapshot,
     cached_blocks,
-    remember_dispatch,
+    record_dispatch,
 )
 from clementinebend_routing.slow_start import started_share
 
@@ -142,7 +142,7 @@
         for position, name in enumerate(selected)
     )
     chosen = state.endpoints[best.endpoint]
-    remember_dispatch(chosen.prefix, request.prefix_blocks, now)
+    record_dispatch(chosen.prefix, request.prefix_blocks, now)
     return state, Choice(best.endpoint, best.seconds, best.uncached)
 
 
--- a/libs/routing/src/clementinebend_routing/endpoints.py
+++ b/libs/routing/src/clementinebend_routing/endpoints.py
@@ -11,7 +11,7 @@
 
 from clementinebend_records.messages import LoadReport
 from clementinebend_routing.outliers import Health
-from clementinebend_routing.prefix import PrefixMap, empty_prefix_map, forget
+from clementinebend_routing.prefix import PrefixMap, empty_prefix_map, reset_prefix_map
 
 REPORT_HALF_LIFE = 0.1
 """Age at which half of a report's weight is gone, in seconds.
@@ -106,7 +106,9 @@
         if report.sequence <= last.sequence:
             return endpoint
     elif last is not None:
-        endpoint = endpoint._replace(prefix=forget(endpoint.prefix), started_at=now)
+        endpoint = endpoint._replace(
+            prefix=reset_prefix_map(endpoint.prefix), started_at=now
+        )
     already_reported = sum(
         1
         for own in endpoint.own.values()
--- a/libs/routing/src/clementinebend_routing/prefix.py
+++ b/libs/routing/src/clementinebend_routing/prefix.py
@@ -69,7 +69,7 @@
     return len(blocks)
 
 
-def remember_dispatch(prefix: PrefixMap, blocks: Iterable[str], now: float) -> None:
+def record_dispatch(prefix: PrefixMap, blocks: Iterable[str], now: float) -> None:
     """Note that a prompt with these blocks was sent to the endpoint."""
     dispatched = prefix.dispatched
     for block in blocks:
@@ -109,7 +109,7 @@
     return PrefixMap(stored, prefix.dispatched, sequence + 1)
 
 
-def forget(prefix: PrefixMap) -> PrefixMap:
+def reset_prefix_map(prefix: PrefixMap) -> PrefixMap:
     """Return the map of an engine that has lost its cache."""
     return PrefixMap({}, {}, None, prefix.needs_resync)
 
