--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 from clementinebend_records.messages import CacheEvent, LoadReport
-from clementinebend_routing.draws import draw_names
+from clementinebend_routing.draws import sample_names
 from clementinebend_routing.endpoints import (
     Candidate,
     EndpointState,
@@ -244,7 +244,7 @@
 def _select_candidates(
     state: RoutingState, names: Sequence[str], cached: dict[str, int]
 ) -> tuple[RoutingState, tuple[str, ...]]:
-    random_state, random_names = draw_names(
+    random_state, random_names = sample_names(
         state.random_state, names, RANDOM_CANDIDATES
     )
     holders = sorted(names, key=lambda name: -cached[name])[:PREFIX_CANDIDATES]
--- a/libs/routing/src/clementinebend_routing/draws.py
+++ b/libs/routing/src/clementinebend_routing/draws.py
@@ -20,14 +20,17 @@
     return state, mixed ^ (mixed >> 31)
 
 
-def draw_names(
+def sample_names(
     state: int, names: Sequence[str], count: int
 ) -> tuple[int, tuple[str, ...]]:
     """Return the next state and ``count`` different names in random order."""
-    left = list(names)
-    count = min(count, len(left))
-    for place in range(count):
+    remaining = list(names)
+    count = min(count, len(remaining))
+    for index in range(count):
         state, number = next_number(state)
-        other = place + number % (len(left) - place)
-        left[place], left[other] = left[other], left[place]
-    return state, tuple(left[:count])
+        swap_index = index + number % (len(remaining) - index)
+        remaining[index], remaining[swap_index] = (
+            remaining[swap_index],
+            remaining[index],
+        )
+    return state, tuple(remaining[:count])
