--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -36,7 +36,7 @@
     cached_blocks,
     record_dispatch,
 )
-from clementinebend_routing.slow_start import started_share
+from clementinebend_routing.slow_start import slow_start_share
 
 __all__ = [
     "Candidate",
@@ -267,7 +267,7 @@
     uncached = round(request.tokens * (1 - cached / blocks))
     seconds = expected_wait(endpoint, mean_other_runs, now)
     seconds += prefill_time(endpoint, uncached)
-    seconds /= started_share(endpoint.started_at, now)
+    seconds /= slow_start_share(endpoint.started_at, now)
     if endpoint.candidate.zone != request.zone:
         seconds += CROSS_ZONE_SECONDS
     return ScoredEndpoint(seconds, position, name, uncached)
--- a/libs/routing/src/clementinebend_routing/slow_start.py
+++ b/libs/routing/src/clementinebend_routing/slow_start.py
@@ -7,11 +7,11 @@
 SLOW_START_SECONDS = 10.0
 """How long an endpoint counts as new."""
 
-FIRST_SHARE = 0.1
+INITIAL_SHARE = 0.1
 """Share of its capacity that an endpoint has at the start."""
 
 
-def started_share(started_at: float, now: float) -> float:
+def slow_start_share(started_at: float, now: float) -> float:
     """Return the share of its capacity, above 0 and up to 1, to use now."""
     share = (now - started_at) / SLOW_START_SECONDS
-    return min(1.0, max(FIRST_SHARE, share))
+    return min(1.0, max(INITIAL_SHARE, share))
