--- a/libs/routing/src/clementinebend_routing/__init__.py
+++ b/libs/routing/src/clementinebend_routing/__init__.py
@@ -1,3 +1,3 @@
-"""Pure choice of an endpoint."""
+"""Pure functions that select an endpoint for a request and place models."""
 
 __version__ = "0.1.0"
