--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -1,15 +1,15 @@
-"""Choice of the endpoint with the least expected time to first token.
-
-The score of an endpoint is its expected wait plus the prefill of the prompt
-tokens it has not cached, plus a cost for another availability zone. It is
-worked out for ``d`` endpoints drawn at random and for those that hold the
-longest prefix. The draw keeps routers that share a lagging view from sending
-to the same endpoint. Sources: Mitzenmacher, "The Power of Two Choices in
-Randomized Load Balancing" (2001); Wydrowski et al., "Load is not what you
-should balance: Introducing Prequal" (NSDI 2024).
-
-All functions take ``now`` in monotonic seconds; the state handed in is
-consumed. The draw is deterministic from the seed in the state.
+"""Selection of the endpoint with the lowest expected time to first token.
+
+The score of an endpoint is its expected queueing delay plus the prefill time of the
+prompt tokens that it has not cached, scaled up during slow start, plus a penalty for
+another availability zone. Only endpoints sampled at random and those with the longest
+cached prefix are scored. Random sampling prevents routers that share a lagging view
+from all sending to the same endpoint. Sources: Mitzenmacher, "The Power of Two Choices
+in Randomized Load Balancing" (2001); Wydrowski et al., "Load is not what you should
+balance: Introducing Prequal" (NSDI 2024).
+
+All functions take ``now`` in monotonic seconds. They consume the state passed in: use
+only the state they return. The sampling is deterministic for a given seed.
 """
 
 from collections.abc import Iterable, Sequence
@@ -56,22 +56,23 @@
 ]
 
 RANDOM_CANDIDATES = 8
-"""Endpoints drawn at random for each choice."""
+"""Number of endpoints sampled at random for each request."""
 
 PREFIX_CANDIDATES = 2
-"""Endpoints with the longest cached prefix that are scored beside them."""
+"""Number of endpoints with the longest cached prefix that are scored as well."""
 
 CROSS_ZONE_SECONDS = 0.002
-"""Seconds that another availability zone adds."""
+"""Seconds added to the score of an endpoint in another availability zone."""
 
 UNAVAILABLE_RETRY_MS = 1_000
-"""Told when no endpoint is known that will come back by itself."""
+"""Retry delay that is returned when no endpoint is eligible."""
 
 
 class RoutingState(NamedTuple):
-    """All that one router knows of its endpoints.
+    """State of one router.
 
-    ``random_state`` is the state of the random draws; ``names`` are by service.
+    ``random_state`` is the state of the random number generator. ``names`` maps each
+    service to the names of its endpoints.
     """
 
     random_state: int
@@ -80,9 +81,10 @@
 
 
 class ScoredEndpoint(NamedTuple):
-    """An endpoint's expected time to first token.
+    """An endpoint and its expected time to first token.
 
-    Of equal ones the first drawn is taken, so ``position`` stands before the name.
+    The field order is the sort order: ``position`` precedes the name so that ties go to
+    the endpoint that was sampled first.
     """
 
     seconds: float
@@ -92,14 +94,14 @@
 
 
 def empty_routing(seed: int) -> RoutingState:
-    """Return a router that knows no endpoint yet."""
+    """Return the state of a router without endpoints."""
     return RoutingState(seed, {}, {})
 
 
 def set_endpoints(
     state: RoutingState, candidates: Iterable[Candidate], now: float
 ) -> RoutingState:
-    """Replace the endpoints; what is known of those that stay is kept."""
+    """Replace the endpoints and keep the state of those that remain."""
     endpoints = {
         candidate.endpoint: _with_candidate(state, candidate, now)
         for candidate in candidates
@@ -119,10 +121,10 @@
 def choose(
     state: RoutingState, request: RoutingRequest, now: float
 ) -> tuple[RoutingState, Choice | NoEndpoint]:
-    """Choose an endpoint; call ``on_dispatch`` at once when it is used.
+    """Select an endpoint; call ``on_dispatch`` as soon as it is used.
 
-    A leaving, unusable or excluded endpoint is never chosen; an ejected one
-    only when all others are out.
+    Leaving, unusable and excluded endpoints are never selected. An ejected endpoint is
+    selected only if every eligible endpoint is ejected.
     """
     eligible = _eligible_endpoints(state, request)
     not_ejected = [
@@ -149,7 +151,7 @@
 def on_dispatch(
     state: RoutingState, endpoint: str, run: str, now: float, uncached: int = 0
 ) -> RoutingState:
-    """Count a run that was sent to ``endpoint``."""
+    """Record a run that was sent to ``endpoint``."""
     known = state.endpoints.get(endpoint)
     if known is not None:
         state.endpoints[endpoint] = add_run(known, run, uncached, now)
@@ -159,7 +161,7 @@
 def on_finish(
     state: RoutingState, endpoint: str, run: str, ok: bool, latency: float, now: float
 ) -> RoutingState:
-    """Take the end of a run; ``ok`` is false when the endpoint is to blame."""
+    """Record the end of a run; ``ok`` is false if the endpoint is at fault."""
     known = state.endpoints.get(endpoint)
     if known is None:
         return state
@@ -172,7 +174,10 @@
 
 
 def on_load_report(state: RoutingState, report: LoadReport, now: float) -> RoutingState:
-    """Take a load report; one of a new incarnation starts the endpoint anew."""
+    """Apply a load report.
+
+    A report of a new incarnation clears the cache map and restarts slow start.
+    """
     known = state.endpoints.get(report.endpoint)
     if known is not None:
         state.endpoints[report.endpoint] = add_report(known, report, now)
@@ -180,7 +185,7 @@
 
 
 def on_cache_event(state: RoutingState, event: CacheEvent, now: float) -> RoutingState:
-    """Take a cache event; see ``endpoints_to_resync`` for what to do after a gap."""
+    """Apply a cache event; see ``endpoints_to_resync`` for gaps in the sequence."""
     known = state.endpoints.get(event.endpoint)
     if known is not None:
         prefix = apply_event(known.prefix, event.sequence, event.stored, event.evicted)
@@ -191,7 +196,7 @@
 def on_cache_snapshot(
     state: RoutingState, endpoint: str, sequence: int, blocks: Iterable[str]
 ) -> RoutingState:
-    """Take the whole content of an endpoint's cache as of event ``sequence``."""
+    """Apply the full content of an endpoint's cache as of event ``sequence``."""
     known = state.endpoints.get(endpoint)
     if known is not None:
         prefix = apply_snapshot(known.prefix, sequence, blocks)
@@ -200,7 +205,7 @@
 
 
 def endpoints_to_resync(state: RoutingState) -> tuple[str, ...]:
-    """Return the endpoints whose cache map has gaps and needs a resync."""
+    """Return the endpoints whose cache map is incomplete after an event gap."""
     return tuple(
         name for name, item in state.endpoints.items() if item.prefix.needs_resync
     )
