--- a/libs/routing/src/clementinebend_routing/cold_start.py
+++ b/libs/routing/src/clementinebend_routing/cold_start.py
@@ -1,16 +1,17 @@
-"""Rate limits for endpoints that may be cold, over all entries. Pure.
+"""Rate limits for endpoints that may be cold, shared by all entries. Pure functions.
 
-Load pattern: the endpoints of an availability zone come back together, cold and idle,
-during a burst. All entries find them idle at once and send there together, and a cold
-endpoint crashes at a rate well above the one that it tolerates.
+Load pattern: all endpoints of an availability zone return at once, cold and idle,
+during a burst of calls. Every entry sees them idle and sends to them at the same time.
+A cold endpoint crashes when the call rate is well above the rate that it tolerates.
 
 The process that keeps an endpoint's queue counts the calls of the last second and the
-permits that it granted most recently. An entry sends a call only with a permit. An
-endpoint may turn cold some seconds before its announcement says so, so those that are
-not known to be cold have a limit as well, a higher one. Where no count is available,
-only a few entries send to a cold endpoint, each at most one call a second.
+permits that it granted most recently. An entry sends a call only with a permit.
+Announcements lag, so an endpoint may be cold for some seconds before its announcement
+says so. Endpoints that are not known to be cold are therefore limited too, at a higher
+rate. If no count is available, only a few entries send to a cold endpoint, each at most
+one call per second.
 
-Times are in seconds on the steady clock.
+Times are in seconds on the monotonic clock.
 """
 
 from collections import deque
@@ -19,37 +20,38 @@
 WINDOW_SECONDS = 1.0
 
 PERMIT_SECONDS = 0.06
-"""How long a permit is outstanding before its call is counted as sent: the wait for
-reports, the time for which a survey is usable, and the delay of a datagram."""
+"""How long a permit counts as outstanding. After that its call is assumed to be in the
+count of sent calls. Covers the wait for reports, the time for which a survey is usable,
+and the delay of a datagram."""
 
 WARM_SHARE = 0.95
-"""Share of the bound for an endpoint that is not known to be cold; the rest covers lost
-messages about sent calls."""
+"""Share of the bound that is granted to an endpoint not known to be cold. The rest is a
+margin for lost messages about sent calls."""
 
 COLD_SHARE = 0.75
-"""Share of the bound for an endpoint that is known to be cold."""
+"""Share of the bound that is granted to an endpoint known to be cold."""
 
 UNCOUNTED_SHARE = 0.5
-"""Share of the remaining bound of a cold endpoint for calls without a permit; the rest
-covers entries that know different sets of entries."""
+"""Share of a cold endpoint's remaining bound for calls sent without a permit. The rest
+is a margin for entries whose lists of entries differ."""
 
 UNCOUNTED_INTERVAL = 1.1
-"""Least seconds between two calls that an entry sends to a cold endpoint without a
-permit, so that no second holds both."""
+"""Minimum seconds between two calls that an entry sends to a cold endpoint without a
+permit. Longer than the window, so that no second contains both."""
 
 
 class ColdBound(NamedTuple):
-    """The most calls a second: ``overage`` times the tolerated rate, plus ``slack``."""
+    """Upper bound on calls per second: tolerated rate * ``overage`` + ``slack``."""
 
     overage: float = 1.0
     slack: float = 0.0
 
 
 class PermitLimit(NamedTuple):
-    """The limits at which a permit is refused.
+    """Limits above which a permit is refused.
 
-    ``max_sent`` applies to the calls sent in the last second, ``max_total`` to these
-    together with the outstanding permits.
+    ``max_sent`` limits the calls sent in the last second. ``max_total`` limits these
+    plus the outstanding permits.
     """
 
     max_sent: int
@@ -57,10 +59,10 @@
 
 
 class ColdLimit(NamedTuple):
-    """The limits of an endpoint that is cold for ``cold_seconds`` after its start.
+    """Limits of an endpoint that is cold for ``cold_seconds`` after its start.
 
-    ``cold`` applies while it counts as cold, ``warm`` otherwise. Where no count is
-    available, ``uncounted_entries`` entries may send to a cold one.
+    ``cold`` applies while the endpoint is considered cold, ``warm`` otherwise. If no
+    count is available, ``uncounted_entries`` entries may send to a cold endpoint.
     """
 
     cold_seconds: float
@@ -70,9 +72,9 @@
 
 
 def cold_limit(seconds: float, rate: float, bound: ColdBound) -> ColdLimit | None:
-    """Return the limits of a service whose cold endpoints tolerate ``rate`` a second.
+    """Return the limits for a service whose cold endpoints tolerate ``rate`` calls/s.
 
-    None if its endpoints are never cold, or name no tolerated rate.
+    Returns None if its endpoints are never cold or no tolerated rate is configured.
     """
     if seconds <= 0.0 or rate <= 0.0:
         return None
@@ -88,10 +90,10 @@
 
 
 class RecentCalls:
-    """One process's count of the calls sent to an endpoint in the last second.
+    """Counts the calls sent to an endpoint in the last second, in one process.
 
-    No permit is decided on in the first second: the process may not know of calls that
-    were sent before it began to count.
+    Permits are neither granted nor refused in the first second, since the process may
+    not know of calls that were sent before it started to count.
     """
 
     def __init__(self, now: float) -> None:
@@ -100,12 +102,12 @@
         self.permits: deque[float] = deque()
 
     def on_sent(self, now: float) -> None:
-        """Count a call that is sent there."""
+        """Record a call that was sent to the endpoint."""
         self.sent.append(now)
         _drop_before(self.sent, now - WINDOW_SECONDS)
 
     def request_permit(self, limit: PermitLimit, now: float) -> bool | None:
-        """Return whether a permit is granted, none if the count is incomplete."""
+        """Return whether a permit is granted, or None if the count is incomplete."""
         if now - self.counting_since < WINDOW_SECONDS:
             return None
         _drop_before(self.sent, now - WINDOW_SECONDS)
