--- a/libs/routing/src/clementinebend_routing/draws.py
+++ b/libs/routing/src/clementinebend_routing/draws.py
@@ -1,7 +1,7 @@
-"""Seeded draws as values: a generator's state goes in, the next comes out.
+"""Random numbers without hidden state: each function takes and returns a state.
 
-SplitMix64 (Steele, Lea, Flood: "Fast Splittable Pseudorandom Number
-Generators", OOPSLA 2014); not for secrets.
+The generator is SplitMix64 (Steele, Lea, Flood: "Fast Splittable Pseudorandom Number
+Generators", OOPSLA 2014). It is not cryptographically secure.
 """
 
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 
 
 def next_number(state: int) -> tuple[int, int]:
-    """Return the next state and a number of 64 random bits."""
+    """Return the next state and 64 random bits as an integer."""
     state = (state + INCREMENT) & MASK
     mixed = ((state ^ (state >> 30)) * FIRST_MULTIPLIER) & MASK
     mixed = ((mixed ^ (mixed >> 27)) * SECOND_MULTIPLIER) & MASK
@@ -23,7 +23,7 @@
 def sample_names(
     state: int, names: Sequence[str], count: int
 ) -> tuple[int, tuple[str, ...]]:
-    """Return the next state and ``count`` different names in random order."""
+    """Return the next state and a random sample of ``count`` distinct names."""
     remaining = list(names)
     count = min(count, len(remaining))
     for index in range(count):
