--- a/libs/routing/src/clementinebend_routing/endpoint_queue.py
+++ b/libs/routing/src/clementinebend_routing/endpoint_queue.py
@@ -16,14 +16,14 @@
 from clementinebend_routing.prefill import Pace, on_first_token
 from clementinebend_routing.sessions import PromptPart, uncached_tokens
 
-CACHED_PARTS = 4_000
+MAX_CACHED_PARTS = 4_000
 """Parts believed to be in one engine's cache."""
 
-UNREAD_SECONDS = 4.0
+UNREAD_TIMEOUT = 4.0
 """How long a prompt counts as unread: callers leave a stream that gives no event for
 some 2 s, so a word that it was read or ended has been lost."""
 
-LONGEST_CALL = 60.0
+MAX_CALL_SECONDS = 60.0
 """How long a call counts as running if nothing is heard of its end."""
 
 
@@ -70,7 +70,7 @@
         now: float,
     ) -> None:
         """Take a call that is sent there."""
-        self._forget(now)
+        self._expire(now)
         ahead = self.ahead(priority)
         self.running[request] = now
         if parts:
@@ -86,7 +86,7 @@
         for part in call.parts:
             self.cached[part.name] = None
             self.cached.move_to_end(part.name)
-        while len(self.cached) > CACHED_PARTS:
+        while len(self.cached) > MAX_CACHED_PARTS:
             self.cached.popitem(last=False)
 
     def on_ended(self, request: str) -> None:
@@ -104,21 +104,21 @@
         self, priority: int, parts: Sequence[PromptPart], now: float
     ) -> QueueReport:
         """Return what a new call would meet."""
-        self._forget(now)
+        self._expire(now)
         unread = uncached_tokens(self.cached, parts)
         return QueueReport(
             len(self.running), self.ahead(priority), unread, self.pace.seconds
         )
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         """Drop the oldest calls whose end was never heard of."""
         while self.unread:
             request, call = next(iter(self.unread.items()))
-            if now - call.sent_at < UNREAD_SECONDS:
+            if now - call.sent_at < UNREAD_TIMEOUT:
                 break
             del self.unread[request]
         while self.running:
             request, sent_at = next(iter(self.running.items()))
-            if now - sent_at < LONGEST_CALL:
+            if now - sent_at < MAX_CALL_SECONDS:
                 break
             del self.running[request]
--- a/libs/routing/src/clementinebend_routing/sessions.py
+++ b/libs/routing/src/clementinebend_routing/sessions.py
@@ -14,7 +14,7 @@
 PARTS_REMEMBERED = 20_000
 """Prompt parts remembered to learn which come again; at most some 2 MB."""
 
-CACHED_PARTS = 4_000
+MAX_CACHED_PARTS = 4_000
 """Parts believed to be in one engine's cache."""
 
 LEAST_FETCHED = 64
@@ -58,7 +58,7 @@
     def was_read(self, endpoint: str, parts: Sequence[PromptPart]) -> None:
         """Note that ``endpoint`` has read a prompt."""
         cached = self.cached.setdefault(endpoint, OrderedDict())
-        _touch(cached, (part.name for part in parts), CACHED_PARTS)
+        _touch(cached, (part.name for part in parts), MAX_CACHED_PARTS)
 
     def forget(self, endpoint: str) -> None:
         """Forget the cache of an endpoint that is gone."""
--- a/tests/unit/routing/test_endpoint_queue.py
+++ b/tests/unit/routing/test_endpoint_queue.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from clementinebend_routing.endpoint_queue import (
-    CACHED_PARTS,
-    LONGEST_CALL,
-    UNREAD_SECONDS,
+    MAX_CACHED_PARTS,
+    MAX_CALL_SECONDS,
+    UNREAD_TIMEOUT,
     EndpointQueue,
 )
 from clementinebend_routing.prefill import PromptPlace, choose_place
@@ -48,8 +48,8 @@
 def test_calls_whose_end_was_never_heard_are_forgotten() -> None:
     queue = EndpointQueue()
     queue.on_sent("a", USUAL, 100, PARTS, 0.0)
-    assert queue.report(USUAL, (), UNREAD_SECONDS)[:2] == (1, 0)
-    assert queue.report(USUAL, (), LONGEST_CALL)[:2] == (0, 0)
+    assert queue.report(USUAL, (), UNREAD_TIMEOUT)[:2] == (1, 0)
+    assert queue.report(USUAL, (), MAX_CALL_SECONDS)[:2] == (0, 0)
 
 
 def test_the_pace_is_seen_by_all() -> None:
@@ -63,11 +63,11 @@
 
 def test_what_is_kept_is_bounded() -> None:
     queue = EndpointQueue()
-    for number in range(2 * CACHED_PARTS):
+    for number in range(2 * MAX_CACHED_PARTS):
         queue.on_sent("r", USUAL, 1, (PromptPart(f"p{number}", 1),), 0.0)
         queue.on_read("r", 0.0)
         queue.on_ended("r")
-    assert len(queue.cached) == CACHED_PARTS
+    assert len(queue.cached) == MAX_CACHED_PARTS
 
 
 requests = st.sampled_from("abcd")
