--- a/libs/routing/src/clementinebend_routing/endpoint_queue.py
+++ b/libs/routing/src/clementinebend_routing/endpoint_queue.py
@@ -1,12 +1,13 @@
-"""What lies before a new call at one endpoint, as one process keeps it for all. Pure.
+"""Queue state of one endpoint, kept by a single process for all entries. Pure.
 
-Load pattern: many entries send to the same endpoints, and each would have to hear of
-what all others send before it chooses. Told each second or two, 68 of them saw the same
-idle endpoint and went there together. So each endpoint's queue is kept by one process
-that hears of each call, and entries ask it about few endpoints just before they choose.
-That costs a call the same at any size of the fleet.
+Load pattern: many entries send to the same endpoints, and each would need to know what
+all others send before it selects one. With the state broadcast every one or two
+seconds, 68 entries saw the same idle endpoint and all sent to it. Each endpoint's queue
+is therefore kept by one process that is notified of every call, and entries query it
+for a few endpoints just before they select one. The cost per call does not depend on
+the size of the fleet.
 
-Times are in seconds on the steady clock, amounts in tokens.
+Times are in seconds on the monotonic clock, prompt lengths in tokens.
 """
 
 from collections import OrderedDict
@@ -17,18 +18,19 @@
 from clementinebend_routing.sessions import PromptPart, uncached_tokens
 
 MAX_CACHED_PARTS = 4_000
-"""Parts believed to be in one engine's cache."""
+"""Maximum number of prompt parts tracked as cached by one engine."""
 
 UNREAD_TIMEOUT = 4.0
-"""How long a prompt counts as unread: callers leave a stream that gives no event for
-some 2 s, so a word that it was read or ended has been lost."""
+"""How long a prompt counts as unread. Callers abandon a stream without events after
+about 2 s, so after this time the notification of its first token or its end must have
+been lost."""
 
 MAX_CALL_SECONDS = 60.0
-"""How long a call counts as running if nothing is heard of its end."""
+"""How long a call counts as running if its end is not reported."""
 
 
 class QueuedCall(NamedTuple):
-    """A call that was sent; ``tokens`` are to be read there, after ``ahead`` others."""
+    """A call with ``tokens`` to prefill behind the ``ahead`` tokens of other calls."""
 
     priority: int
     tokens: int
@@ -38,11 +40,13 @@
 
 
 class QueueReport(NamedTuple):
-    """What a new call would meet: ``running`` calls, and ``ahead`` tokens unread.
+    """State of a queue as seen by a new call.
 
-    ``unread`` is what would have to be read of its prompt, ``pace`` the seconds that
-    each token before a first token took lately, ``has_permit`` whether a permit to
-    send the call was granted, if one was requested; both if they are known.
+    ``running`` is the number of calls, ``ahead`` the unread tokens that are processed
+    first. ``unread`` is the number of tokens of the call's prompt that are not cached.
+    ``pace`` is the recent number of seconds per token until a first token, or None if
+    unknown. ``has_permit`` tells whether a permit to send the call was granted, or is
+    None if none was requested or the count is incomplete.
     """
 
     running: int
@@ -69,7 +73,7 @@
         parts: tuple[PromptPart, ...],
         now: float,
     ) -> None:
-        """Take a call that is sent there."""
+        """Record a call that was sent to the endpoint."""
         self._expire(now)
         ahead = self.ahead(priority)
         self.running[request] = now
@@ -77,7 +81,7 @@
             self.unread[request] = QueuedCall(priority, tokens, ahead, now, parts)
 
     def on_read(self, request: str, now: float) -> None:
-        """Take note that the first token of a call has come."""
+        """Record that the first token of a call has arrived."""
         call = self.unread.pop(request, None)
         if call is None:
             return
@@ -90,12 +94,12 @@
             self.cached.popitem(last=False)
 
     def on_ended(self, request: str) -> None:
-        """Take note that a call has ended, however it did."""
+        """Record that a call has ended, whether it succeeded or not."""
         self.running.pop(request, None)
         self.unread.pop(request, None)
 
     def ahead(self, priority: int) -> int:
-        """Return the tokens that are read before a new call's prompt."""
+        """Return the number of unread tokens processed before a new call's prompt."""
         return sum(
             call.tokens for call in self.unread.values() if call.priority <= priority
         )
@@ -103,7 +107,7 @@
     def report(
         self, priority: int, parts: Sequence[PromptPart], now: float
     ) -> QueueReport:
-        """Return what a new call would meet."""
+        """Return the state of the queue as seen by a new call."""
         self._expire(now)
         unread = uncached_tokens(self.cached, parts)
         return QueueReport(
@@ -111,7 +115,7 @@
         )
 
     def _expire(self, now: float) -> None:
-        """Drop the oldest calls whose end was never heard of."""
+        """Drop the oldest calls whose end was not reported in time."""
         while self.unread:
             request, call = next(iter(self.unread.items()))
             if now - call.sent_at < UNREAD_TIMEOUT:
