--- a/libs/routing/src/clementinebend_routing/endpoints.py
+++ b/libs/routing/src/clementinebend_routing/endpoints.py
@@ -1,10 +1,10 @@
-"""What a router knows of one endpoint, and its expected time to first token.
+"""State that a router keeps for one endpoint, and its expected time to first token.
 
-Load reports lag, so they are joined with what the router did itself: runs in
-flight that it dispatched are known exactly, and of a report only the part
-that others caused is used. That part loses weight as the report ages and
-gives way to the mean over all endpoints, so a stale report neither attracts
-nor repels. Durations are in seconds.
+Load reports lag, so they are combined with the router's own runs: runs that this router
+has in flight are known exactly, and only the runs of other routers are taken from a
+report. The weight of that number decays with the age of the report in favour of the
+mean over all endpoints, so that a stale report neither attracts nor repels requests.
+Durations are in seconds.
 """
 
 from typing import NamedTuple
@@ -14,27 +14,26 @@
 from clementinebend_routing.prefix import PrefixMap, empty_prefix_map, reset_prefix_map
 
 REPORT_HALF_LIFE = 0.1
-"""Age at which half of a report's weight is gone, in seconds.
-
-Reports reach all routers alike, so a router that believes them for long sends
-where the others send: shorter is better until reports stop mattering at all.
-"""
+"""Half-life of the weight of a load report, in seconds. All routers receive the same
+reports, so a router that relies on them for long sends where the others send. A shorter
+half-life is better until reports no longer have any effect."""
 
 ASSUMED_REPORT_LAG = 0.25
-"""Dispatches this long before a report arrives are taken as not yet in it."""
+"""Runs dispatched less than this many seconds before a report arrives are assumed not
+to be included in it."""
 
 DEFAULT_SLOTS = 16
 DEFAULT_STEP_SECONDS = 0.01
 DEFAULT_LATENCY_SECONDS = 1.0
 
 TOKENS_PER_STEP = 256
-"""Prompt tokens that an engine works through in one step."""
+"""Prompt tokens that an engine prefills in one step."""
 
 LATENCY_SMOOTHING = 0.05
 
 
 class Candidate(NamedTuple):
-    """An endpoint that may be chosen while it is ``usable``."""
+    """An endpoint; it may be selected only while it is ``usable``."""
 
     endpoint: str
     service: str
@@ -44,18 +43,18 @@
 
 
 class OwnRun(NamedTuple):
-    """A run this router has in flight."""
+    """A run that this router has in flight."""
 
     dispatched_at: float
     uncached: int
 
 
 class EndpointState(NamedTuple):
-    """Knowledge of one endpoint.
+    """State of one endpoint.
 
-    ``other_runs`` is the number of runs that others had there at the last report;
-    ``prefill_until`` is when the own prompts dispatched so far are worked
-    through; ``latency`` is a moving average over whole runs.
+    ``other_runs`` is the number of runs of other routers as of the last report.
+    ``prefill_until`` is the time at which the prompts dispatched by this router are
+    expected to be prefilled. ``latency`` is a moving average over whole runs.
     """
 
     candidate: Candidate
@@ -72,14 +71,14 @@
 
 
 def new_endpoint(candidate: Candidate, now: float) -> EndpointState:
-    """Return an endpoint of which nothing is known yet."""
+    """Return the initial state of an endpoint."""
     return EndpointState(candidate, now, empty_prefix_map(), {})
 
 
 def add_run(
     endpoint: EndpointState, run: str, uncached: int, now: float
 ) -> EndpointState:
-    """Return the endpoint with one more own run in flight."""
+    """Add a run of this router and the prefill time of its prompt."""
     endpoint.own[run] = OwnRun(now, uncached)
     start = max(now, endpoint.prefill_until)
     return endpoint._replace(prefill_until=start + prefill_time(endpoint, uncached))
@@ -88,7 +87,7 @@
 def end_run(
     endpoint: EndpointState, run: str, ok: bool, latency: float
 ) -> EndpointState:
-    """Return the endpoint with an own run ended after ``latency`` seconds."""
+    """Remove a run of this router; a successful one updates the average latency."""
     if endpoint.own.pop(run, None) is None or not ok:
         return endpoint
     samples = endpoint.latency_samples + 1
@@ -100,7 +99,11 @@
 def add_report(
     endpoint: EndpointState, report: LoadReport, now: float
 ) -> EndpointState:
-    """Return the endpoint with a newer report; older ones change nothing."""
+    """Apply a load report unless it is older than the last one.
+
+    A new incarnation has an empty cache: its prefix map is cleared, and slow start
+    begins again.
+    """
     last = endpoint.report
     if last is not None and last.incarnation == report.incarnation:
         if report.sequence <= last.sequence:
@@ -119,26 +122,26 @@
 
 
 def slot_count(endpoint: EndpointState) -> int:
-    """Return how many requests the endpoint runs at one time."""
+    """Return how many requests the endpoint runs concurrently."""
     if endpoint.report is None or endpoint.report.slots < 1:
         return DEFAULT_SLOTS
     return endpoint.report.slots
 
 
 def step_seconds(endpoint: EndpointState) -> float:
-    """Return the seconds that one step of the endpoint takes."""
+    """Return the duration of one engine step."""
     if endpoint.report is None or endpoint.report.step_ms <= 0:
         return DEFAULT_STEP_SECONDS
     return endpoint.report.step_ms / 1000
 
 
 def prefill_time(endpoint: EndpointState, uncached: int) -> float:
-    """Return the seconds that ``uncached`` prompt tokens take."""
+    """Return the seconds needed to prefill ``uncached`` prompt tokens."""
     return uncached / TOKENS_PER_STEP * step_seconds(endpoint)
 
 
 def expected_runs(endpoint: EndpointState, mean_other_runs: float, now: float) -> float:
-    """Return the runs expected on the endpoint now, own ones and others."""
+    """Return the expected number of runs on the endpoint, from all routers."""
     if endpoint.report is None:
         return len(endpoint.own) + mean_other_runs
     weight: float = 0.5 ** ((now - endpoint.reported_at) / REPORT_HALF_LIFE)
@@ -147,7 +150,7 @@
 
 
 def expected_wait(endpoint: EndpointState, mean_other_runs: float, now: float) -> float:
-    """Return the seconds until a new request would get its first step."""
+    """Return the expected seconds until a new request gets its first step."""
     runs = expected_runs(endpoint, mean_other_runs, now)
     slots = slot_count(endpoint)
     slot_wait = max(0.0, runs + 1 - slots) * endpoint.latency / slots
