--- a/libs/relay/src/clementinebend_relay/attempts.py
+++ b/libs/relay/src/clementinebend_relay/attempts.py
@@ -15,7 +15,7 @@
 from clementinebend_relay.progress import CallProgress
 from clementinebend_relay.quarantine_news import QuarantineNews
 from clementinebend_relay.survey import Placement
-from clementinebend_routing.fatal_runs import counts_against
+from clementinebend_routing.fatal_runs import counts_as_evidence
 from clementinebend_transport.http_client import OpenAnswer
 from clementinebend_transport.http_types import Response
 
@@ -130,7 +130,7 @@
         )
         streamed_from = progress.attempt_event_at
         streamed = 0.0 if streamed_from is None else self.clock() - streamed_from
-        if counts_against(streamed):
+        if counts_as_evidence(streamed):
             ends = self.dispatcher.ends
             ends.on_broken(state, admitted.fingerprint, progress.sent_at)
 
--- a/libs/relay/src/clementinebend_relay/quarantine.py
+++ b/libs/relay/src/clementinebend_relay/quarantine.py
@@ -21,12 +21,12 @@
     Evidence,
     FatalRun,
     endpoints_of,
-    ends_in_series,
     is_fatal,
     is_suspected,
+    sequential_ends,
     with_run,
     without_endpoints,
-    without_later,
+    without_runs_after,
 )
 
 QUARANTINE_PAUSE = 30.0
@@ -151,7 +151,7 @@
         if not is_suspected(before) and is_suspected(evidence):
             reason = "endpoints ended under it, and it was not answered"
             self._log("request suspected", fingerprint, endpoints_of(evidence), reason)
-        if ends_in_series(evidence) >= FATAL_ENDS:
+        if sequential_ends(evidence) >= FATAL_ENDS:
             self.judged_at.setdefault(fingerprint, self.clock() + JUDGEMENT_SECONDS)
         self._bound()
         return True
@@ -248,7 +248,7 @@
         if known < inf:
             latest = run.ended_at + OVERLAP_SECONDS
             for name, evidence in list(self.evidence.items()):
-                self._keep(name, without_later(evidence, run.endpoint, latest))
+                self._keep(name, without_runs_after(evidence, run.endpoint, latest))
         return run.ended_at
 
     def _is_fatal(self, fingerprint: str) -> bool:
--- a/libs/relay/src/clementinebend_relay/streams.py
+++ b/libs/relay/src/clementinebend_relay/streams.py
@@ -13,7 +13,7 @@
 from clementinebend_relay.dispatch import Dispatcher
 from clementinebend_relay.events import EventSplitter, StreamEvent, follows
 from clementinebend_relay.progress import CallProgress
-from clementinebend_routing.fatal_runs import counts_against
+from clementinebend_routing.fatal_runs import counts_as_evidence
 from clementinebend_routing.silence import SILENT_SECONDS
 from clementinebend_transport.exceptions import AnswerCutError, TruncatedAnswer
 from clementinebend_transport.http_types import Response
@@ -146,7 +146,7 @@
             progress.first_event_at = self.clock()
         if progress.attempt_event_at is None:
             progress.attempt_event_at = self.clock()
-        if not counts_against(self.clock() - progress.attempt_event_at):
+        if not counts_as_evidence(self.clock() - progress.attempt_event_at):
             self.attempts.on_sound(progress)
         progress.events += 1
         progress.last_event = event.number or progress.last_event
--- a/libs/routing/src/clementinebend_routing/fatal_runs.py
+++ b/libs/routing/src/clementinebend_routing/fatal_runs.py
@@ -69,7 +69,7 @@
     return tuple(run for run in evidence if run.endpoint not in dropped)
 
 
-def without_later(evidence: Evidence, endpoint: str, latest: float) -> Evidence:
+def without_runs_after(evidence: Evidence, endpoint: str, latest: float) -> Evidence:
     """Return the evidence without what was sent to ``endpoint`` after some time."""
     return tuple(
         run for run in evidence if run.endpoint != endpoint or run.sent_at <= latest
@@ -81,7 +81,7 @@
     return frozenset(run.endpoint for run in evidence)
 
 
-def ends_in_series(evidence: Evidence) -> int:
+def sequential_ends(evidence: Evidence) -> int:
     """Return how many of the runs came one after the other, at the most."""
     by_end = sorted(evidence, key=lambda run: run.ended_at)
     last_ends = accumulate(by_end, _last_end, initial=-inf)
@@ -96,7 +96,7 @@
 
 def is_suspected(evidence: Evidence) -> bool:
     """Tell whether a request should run one at a time and apart from others."""
-    return ends_in_series(evidence) >= SUSPECTED_ENDS
+    return sequential_ends(evidence) >= SUSPECTED_ENDS
 
 
 def is_fatal(evidence: Evidence, others: Iterable[Evidence]) -> bool:
@@ -104,7 +104,7 @@
 
     While another one was at all the same ends, either may be the cause.
     """
-    ends = ends_in_series(evidence)
+    ends = sequential_ends(evidence)
     if ends < FATAL_ENDS:
         return False
     if ends >= LEAST_RUNS_UNDECIDED:
@@ -113,6 +113,6 @@
     return not any(own <= endpoints_of(other) for other in others)
 
 
-def counts_against(streamed_seconds: float) -> bool:
+def counts_as_evidence(streamed_seconds: float) -> bool:
     """Tell whether an end is evidence, so long after a run's first event."""
     return streamed_seconds <= LONGEST_FATAL_STREAM
--- a/tests/unit/routing/test_fatal_runs.py
+++ b/tests/unit/routing/test_fatal_runs.py
@@ -9,9 +9,9 @@
     MOST_RUNS,
     Evidence,
     FatalRun,
-    ends_in_series,
     is_fatal,
     is_suspected,
+    sequential_ends,
     with_run,
     without_endpoints,
 )
@@ -39,13 +39,13 @@
 
 def test_endpoints_that_end_together_are_no_more_than_one_end() -> None:
     together = evidence_of(*[(0.1 * number, 1.0) for number in range(9)])
-    assert ends_in_series(together) == 1
+    assert sequential_ends(together) == 1
     assert not is_fatal(together, ())
 
 
 def test_runs_that_overlap_count_as_far_as_they_follow_one_another() -> None:
     overlapping = evidence_of((0.0, 0.15), (0.1, 0.25), (0.2, 0.35), (0.3, 0.45))
-    assert ends_in_series(overlapping) == 2
+    assert sequential_ends(overlapping) == 2
 
 
 def test_the_same_endpoint_counts_once_and_what_is_kept_is_bounded() -> None:
@@ -61,7 +61,7 @@
     assert not is_fatal(IN_SERIES, [IN_SERIES])
     assert is_fatal(IN_SERIES, [IN_SERIES[:2]])
     more = evidence_of(*[(number, number + 0.5) for number in range(5)])
-    assert ends_in_series(more) == LEAST_RUNS_UNDECIDED
+    assert sequential_ends(more) == LEAST_RUNS_UNDECIDED
     assert is_fatal(more, [more])
 
 
@@ -77,13 +77,13 @@
         forwards = with_run(forwards, run)
     for run in reversed(taken):
         backwards = with_run(backwards, run)
-    assert ends_in_series(forwards) == ends_in_series(backwards)
+    assert sequential_ends(forwards) == sequential_ends(backwards)
 
 
 @given(st.lists(runs, max_size=8))
 def test_the_series_is_the_longest_there_is(taken: list[FatalRun]) -> None:
     evidence = tuple({run.endpoint: run for run in taken}.values())
-    assert ends_in_series(evidence) == _longest(evidence, -1.0)
+    assert sequential_ends(evidence) == _longest(evidence, -1.0)
 
 
 def _longest(evidence: Evidence, last: float) -> int:
