--- a/libs/relay/src/clementinebend_relay/quarantine.py
+++ b/libs/relay/src/clementinebend_relay/quarantine.py
@@ -16,8 +16,8 @@
 from clementinebend_relay.metrics import quarantined_requests
 from clementinebend_relay.models import Reason, Rejection
 from clementinebend_routing.fatal_runs import (
-    FATAL_ENDS,
-    OVERLAP_SECONDS,
+    MIN_FATAL_ENDS,
+    SKEW_SECONDS,
     Evidence,
     FatalRun,
     endpoints_of,
@@ -139,7 +139,7 @@
         if self.alive_at.get(run.endpoint, -inf) > run.ended_at + HEARD_LATE:
             return False
         run = run._replace(ended_at=self._first_end(run))
-        if run.sent_at > run.ended_at + OVERLAP_SECONDS:
+        if run.sent_at > run.ended_at + SKEW_SECONDS:
             return False
         if fingerprint in self.quarantined:
             self.quarantined[fingerprint] |= {run.endpoint}
@@ -151,7 +151,7 @@
         if not is_suspected(before) and is_suspected(evidence):
             reason = "endpoints ended under it, and it was not answered"
             self._log("request suspected", fingerprint, endpoints_of(evidence), reason)
-        if sequential_ends(evidence) >= FATAL_ENDS:
+        if sequential_ends(evidence) >= MIN_FATAL_ENDS:
             self.judged_at.setdefault(fingerprint, self.clock() + JUDGEMENT_SECONDS)
         self._bound()
         return True
@@ -210,7 +210,7 @@
         found = [
             name
             for name, evidence in self.evidence.items()
-            if len(evidence) >= FATAL_ENDS and self._is_fatal(name)
+            if len(evidence) >= MIN_FATAL_ENDS and self._is_fatal(name)
         ]
         for fingerprint in found:
             self.put(fingerprint, "endpoints ended under it")
@@ -246,7 +246,7 @@
             return known
         self.ended_at[run.endpoint] = run.ended_at
         if known < inf:
-            latest = run.ended_at + OVERLAP_SECONDS
+            latest = run.ended_at + SKEW_SECONDS
             for name, evidence in list(self.evidence.items()):
                 self._keep(name, without_runs_after(evidence, run.endpoint, latest))
         return run.ended_at
--- a/libs/routing/src/clementinebend_routing/fatal_runs.py
+++ b/libs/routing/src/clementinebend_routing/fatal_runs.py
@@ -17,23 +17,23 @@
 from math import inf
 from typing import NamedTuple
 
-SUSPECTED_ENDS = 2
+MIN_SUSPECT_ENDS = 2
 """Ends in series after which a request runs one at a time, apart from others."""
 
-FATAL_ENDS = 3
+MIN_FATAL_ENDS = 3
 """Ends in series after which a request is kept from endpoints."""
 
-LEAST_RUNS_UNDECIDED = 5
+CONCLUSIVE_ENDS = 5
 """Ends in series that decide also while another request has shared all of them."""
 
-MOST_RUNS = 16
+MAX_RUNS = 16
 """Runs of one request that are remembered, the newest ones."""
 
-OVERLAP_SECONDS = 0.02
+SKEW_SECONDS = 0.02
 """How much earlier than the end before a run may seem to begin: times of different
 entries differ by what a datagram takes."""
 
-LONGEST_FATAL_STREAM = 1.0
+MAX_FATAL_STREAM = 1.0
 """Seconds after the first event of a stream from which on the end of its endpoint is no
 evidence against it: it ran well that long, and long streams are at more ends than
 others."""
@@ -60,7 +60,7 @@
     others = [known for known in evidence if known.endpoint != run.endpoint]
     same = [known for known in evidence if known.endpoint == run.endpoint]
     first = min((*same, run), key=lambda known: (known.sent_at, known.ended_at))
-    return (*others, first)[-MOST_RUNS:]
+    return (*others, first)[-MAX_RUNS:]
 
 
 def without_endpoints(evidence: Evidence, endpoints: Iterable[str]) -> Evidence:
@@ -90,13 +90,13 @@
 
 def _last_end(last: float, run: FatalRun) -> float:
     """Return the end of the last run of the series, which ``run`` may prolong."""
-    is_next = run.sent_at >= last - OVERLAP_SECONDS and run.ended_at > last
+    is_next = run.sent_at >= last - SKEW_SECONDS and run.ended_at > last
     return run.ended_at if is_next else last
 
 
 def is_suspected(evidence: Evidence) -> bool:
     """Tell whether a request should run one at a time and apart from others."""
-    return sequential_ends(evidence) >= SUSPECTED_ENDS
+    return sequential_ends(evidence) >= MIN_SUSPECT_ENDS
 
 
 def is_fatal(evidence: Evidence, others: Iterable[Evidence]) -> bool:
@@ -105,9 +105,9 @@
     While another one was at all the same ends, either may be the cause.
     """
     ends = sequential_ends(evidence)
-    if ends < FATAL_ENDS:
+    if ends < MIN_FATAL_ENDS:
         return False
-    if ends >= LEAST_RUNS_UNDECIDED:
+    if ends >= CONCLUSIVE_ENDS:
         return True
     own = endpoints_of(evidence)
     return not any(own <= endpoints_of(other) for other in others)
@@ -115,4 +115,4 @@
 
 def counts_as_evidence(streamed_seconds: float) -> bool:
     """Tell whether an end is evidence, so long after a run's first event."""
-    return streamed_seconds <= LONGEST_FATAL_STREAM
+    return streamed_seconds <= MAX_FATAL_STREAM
--- a/tests/unit/routing/test_fatal_runs.py
+++ b/tests/unit/routing/test_fatal_runs.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 
 from clementinebend_routing.fatal_runs import (
-    FATAL_ENDS,
-    LEAST_RUNS_UNDECIDED,
-    MOST_RUNS,
+    CONCLUSIVE_ENDS,
+    MAX_RUNS,
+    MIN_FATAL_ENDS,
     Evidence,
     FatalRun,
     is_fatal,
@@ -50,18 +50,18 @@
 
 def test_the_same_endpoint_counts_once_and_what_is_kept_is_bounded() -> None:
     evidence: Evidence = ()
-    for number in range(3 * MOST_RUNS):
+    for number in range(3 * MAX_RUNS):
         run = FatalRun(f"e{number}", number, number + 0.5)
         evidence = with_run(with_run(evidence, run), run)
-    assert len(evidence) == MOST_RUNS
-    assert evidence[-1].endpoint == f"e{3 * MOST_RUNS - 1}"
+    assert len(evidence) == MAX_RUNS
+    assert evidence[-1].endpoint == f"e{3 * MAX_RUNS - 1}"
 
 
 def test_one_that_was_at_all_the_same_ends_leaves_it_undecided_for_a_while() -> None:
     assert not is_fatal(IN_SERIES, [IN_SERIES])
     assert is_fatal(IN_SERIES, [IN_SERIES[:2]])
     more = evidence_of(*[(number, number + 0.5) for number in range(5)])
-    assert sequential_ends(more) == LEAST_RUNS_UNDECIDED
+    assert sequential_ends(more) == CONCLUSIVE_ENDS
     assert is_fatal(more, [more])
 
 
@@ -95,6 +95,6 @@
 
 
 def test_fewer_ends_than_allowed_never_decide() -> None:
-    assert FATAL_ENDS == 3
-    for ends in range(FATAL_ENDS):
+    assert MIN_FATAL_ENDS == 3
+    for ends in range(MIN_FATAL_ENDS):
         assert not is_fatal(IN_SERIES[:ends], ())
