--- a/libs/routing/src/clementinebend_routing/fatal_runs.py
+++ b/libs/routing/src/clementinebend_routing/fatal_runs.py
@@ -1,15 +1,16 @@
-"""Which request ends the endpoints that run it (a query of death). Pure.
+"""Detection of requests that crash endpoints (queries of death). Pure functions.
 
-Load pattern: a request ends each endpoint that begins to run it, is repeated at any
-entry, and all that ran beside it is lost as well. Endpoints also end by themselves,
-many at once or in turn, under requests that harm nothing.
+Load pattern: a request crashes every endpoint that starts to run it and is retried
+through any entry. All runs beside it are lost as well. Endpoints also end for other
+reasons, many at once or one after the other, while they run harmless requests.
 
-What tells them apart: a request that harms nothing is answered whole sooner or later,
-which clears it. Several of its runs at one time prove no more than one, as endpoints
-also end together: only runs that began after the end before count, one after the
-other. And an end that one request explains is no evidence against the others there.
+A harmless request is answered in full sooner or later, which clears it. Concurrent runs
+of a request are no stronger evidence than a single one, since endpoints also end
+together. Only sequential ends count: each run must have begun after the end before it.
+An end that is explained by one request is no evidence against the others that ran
+there.
 
-Times are in seconds on the steady clock of who keeps the evidence.
+Times are in seconds on the monotonic clock of the process that keeps the evidence.
 """
 
 from collections.abc import Iterable
@@ -18,29 +19,30 @@
 from typing import NamedTuple
 
 MIN_SUSPECT_ENDS = 2
-"""Ends in series after which a request runs one at a time, apart from others."""
+"""Sequential ends after which a request runs alone and one run at a time."""
 
 MIN_FATAL_ENDS = 3
-"""Ends in series after which a request is kept from endpoints."""
+"""Sequential ends after which a request is no longer sent to endpoints."""
 
 CONCLUSIVE_ENDS = 5
-"""Ends in series that decide also while another request has shared all of them."""
+"""Sequential ends that are conclusive even if another request was present at all of
+them."""
 
 MAX_RUNS = 16
-"""Runs of one request that are remembered, the newest ones."""
+"""Maximum number of runs kept as evidence for one request, the newest ones."""
 
 SKEW_SECONDS = 0.02
-"""How much earlier than the end before a run may seem to begin: times of different
-entries differ by what a datagram takes."""
+"""How much earlier than the previous end a run may appear to begin. Times from
+different entries differ by up to the delay of a datagram."""
 
 MAX_FATAL_STREAM = 1.0
-"""Seconds after the first event of a stream from which on the end of its endpoint is no
-evidence against it: it ran well that long, and long streams are at more ends than
-others."""
+"""Seconds after the first event of a stream beyond which the end of its endpoint is no
+evidence against the request. By then the request has run without harm, and long streams
+are present at more ends than others."""
 
 
 class FatalRun(NamedTuple):
-    """A run that was broken off as its endpoint, one boot of it, ended."""
+    """A run that was cut off because one boot of its endpoint ended."""
 
     endpoint: str
     sent_at: float
@@ -48,14 +50,14 @@
 
 
 Evidence = tuple[FatalRun, ...]
-"""The runs of one request that were broken off so; each endpoint stands in it once."""
+"""The runs of one request that were cut off this way, at most one for each endpoint."""
 
 
 def with_run(evidence: Evidence, run: FatalRun) -> Evidence:
-    """Return the evidence with one run more.
+    """Return the evidence with another run.
 
-    Of several at one endpoint the first one counts: if the request ends endpoints, the
-    others only waited there.
+    Of several runs at one endpoint only the first is kept. If the request crashes
+    endpoints, the others were only waiting there.
     """
     others = [known for known in evidence if known.endpoint != run.endpoint]
     same = [known for known in evidence if known.endpoint == run.endpoint]
@@ -64,13 +66,13 @@
 
 
 def without_endpoints(evidence: Evidence, endpoints: Iterable[str]) -> Evidence:
-    """Return the evidence without the ends of some endpoints."""
+    """Return the evidence without the ends of the given endpoints."""
     dropped = frozenset(endpoints)
     return tuple(run for run in evidence if run.endpoint not in dropped)
 
 
 def without_runs_after(evidence: Evidence, endpoint: str, latest: float) -> Evidence:
-    """Return the evidence without what was sent to ``endpoint`` after some time."""
+    """Return the evidence without runs sent to ``endpoint`` after ``latest``."""
     return tuple(
         run for run in evidence if run.endpoint != endpoint or run.sent_at <= latest
     )
@@ -82,27 +84,29 @@
 
 
 def sequential_ends(evidence: Evidence) -> int:
-    """Return how many of the runs came one after the other, at the most."""
+    """Return the length of the longest sequence of runs that did not overlap."""
     by_end = sorted(evidence, key=lambda run: run.ended_at)
     last_ends = accumulate(by_end, _last_end, initial=-inf)
     return len(set(last_ends)) - 1
 
 
 def _last_end(last: float, run: FatalRun) -> float:
-    """Return the end of the last run of the series, which ``run`` may prolong."""
+    """Return the last end of the sequence, extended by ``run`` if it follows."""
     is_next = run.sent_at >= last - SKEW_SECONDS and run.ended_at > last
     return run.ended_at if is_next else last
 
 
 def is_suspected(evidence: Evidence) -> bool:
-    """Tell whether a request should run one at a time and apart from others."""
+    """Return whether a request should run alone and one run at a time."""
     return sequential_ends(evidence) >= MIN_SUSPECT_ENDS
 
 
 def is_fatal(evidence: Evidence, others: Iterable[Evidence]) -> bool:
-    """Tell whether a request ends endpoints; ``others`` is that of all others.
+    """Return whether a request crashes endpoints.
 
-    While another one was at all the same ends, either may be the cause.
+    ``others`` is the evidence of all other requests. If another request was present at
+    all the same ends, either may be the cause, and the decision waits for
+    ``CONCLUSIVE_ENDS``.
     """
     ends = sequential_ends(evidence)
     if ends < MIN_FATAL_ENDS:
@@ -114,5 +118,5 @@
 
 
 def counts_as_evidence(streamed_seconds: float) -> bool:
-    """Tell whether an end is evidence, so long after a run's first event."""
+    """Return whether an end so long after a run's first event is evidence."""
     return streamed_seconds <= MAX_FATAL_STREAM
