--- a/libs/routing/src/clementinebend_routing/hedging.py
+++ b/libs/routing/src/clementinebend_routing/hedging.py
@@ -12,15 +12,15 @@
 HEDGE_RATIO = 0.05
 """Hedges allowed for each look-up."""
 
-HEDGE_BURST = 5.0
+MAX_HEDGE_BALANCE = 5.0
 """Most hedges that a quiet time can save up."""
 
-WHOLE_HEDGE = 1 - 1e-9
+HEDGE_COST = 1 - 1e-9
 """A whole hedge, less the rounding error of adding up ratios."""
 
-PERCENT = 95
-SAMPLES_KEPT = 400
-SAMPLES_NEEDED = 40
+HEDGE_PERCENTILE = 95
+MAX_SAMPLES = 400
+MIN_SAMPLES = 40
 """Without so many latencies the percentile says too little."""
 
 SAMPLES_PER_UPDATE = 20
@@ -31,13 +31,13 @@
     """Recent latencies in seconds, oldest first, and hedges left.
 
     ``delay`` is the percentile of the latencies, ``None`` while too few are
-    known; ``added`` counts latencies since it was worked out.
+    known; ``new_samples`` counts latencies since it was worked out.
     """
 
     ratio: float
     balance: float
     latencies: list[float]
-    added: int = 0
+    new_samples: int = 0
     delay: float | None = None
 
 
@@ -48,19 +48,19 @@
 
 def on_look_up(state: HedgingState, now: float) -> HedgingState:
     """Count a look-up that is sent for the first time."""
-    return state._replace(balance=min(HEDGE_BURST, state.balance + state.ratio))
+    return state._replace(balance=min(MAX_HEDGE_BALANCE, state.balance + state.ratio))
 
 
 def on_latency(state: HedgingState, latency: float, now: float) -> HedgingState:
     """Take the latency of a look-up's answer, from its first attempt on."""
     state.latencies.append(latency)
-    del state.latencies[:-SAMPLES_KEPT]
-    state = state._replace(added=state.added + 1)
-    if len(state.latencies) < SAMPLES_NEEDED:
+    del state.latencies[:-MAX_SAMPLES]
+    state = state._replace(new_samples=state.new_samples + 1)
+    if len(state.latencies) < MIN_SAMPLES:
         return state
-    if state.delay is not None and state.added < SAMPLES_PER_UPDATE:
+    if state.delay is not None and state.new_samples < SAMPLES_PER_UPDATE:
         return state
-    return state._replace(added=0, delay=_percentile(state.latencies))
+    return state._replace(new_samples=0, delay=_percentile(state.latencies))
 
 
 def hedge_delay(state: HedgingState) -> float | None:
@@ -72,11 +72,11 @@
     state: HedgingState, waited: float, now: float
 ) -> tuple[HedgingState, bool]:
     """Tell whether to hedge a look-up that has ``waited``; if so it is counted."""
-    if state.delay is None or waited < state.delay or state.balance < WHOLE_HEDGE:
+    if state.delay is None or waited < state.delay or state.balance < HEDGE_COST:
         return state, False
     return state._replace(balance=state.balance - 1), True
 
 
 def _percentile(latencies: list[float]) -> float:
     ordered = sorted(latencies)
-    return ordered[ceil(len(ordered) * PERCENT / 100) - 1]
+    return ordered[ceil(len(ordered) * HEDGE_PERCENTILE / 100) - 1]
