--- a/libs/routing/src/clementinebend_routing/hedging.py
+++ b/libs/routing/src/clementinebend_routing/hedging.py
@@ -41,7 +41,7 @@
     delay: float | None = None
 
 
-def empty_hedging(ratio: float = HEDGE_RATIO) -> HedgingState:
+def initial_hedging(ratio: float = HEDGE_RATIO) -> HedgingState:
     """Return hedging before the first look-up."""
     return HedgingState(ratio, 0.0, [])
 
--- a/tests/unit/routing/test_hedging.py
+++ b/tests/unit/routing/test_hedging.py
@@ -2,8 +2,8 @@
 
 from clementinebend_routing.hedging import (
     HedgingState,
-    empty_hedging,
     hedge_delay,
+    initial_hedging,
     may_hedge,
     on_latency,
     on_look_up,
@@ -11,7 +11,7 @@
 
 
 def measured(latencies: list[float]) -> HedgingState:
-    state = empty_hedging(ratio=0.05)
+    state = initial_hedging(ratio=0.05)
     for latency in latencies:
         state = on_look_up(state, 0.0)
         state = on_latency(state, latency, 0.0)
