--- a/libs/routing/src/clementinebend_routing/hedging.py
+++ b/libs/routing/src/clementinebend_routing/hedging.py
@@ -1,37 +1,38 @@
-"""Hedging of idempotent look-ups: a second attempt for the slowest few.
+"""Hedged requests for idempotent look-ups.
 
-A look-up that has waited longer than 95 in 100 of the recent ones took may be
-sent to a second endpoint, and the first answer is used. Hedges are kept to a
-small share of the look-ups, so that they stop when everything is slow.
-Source: Dean and Barroso, "The Tail at Scale" (CACM, 2013).
+A look-up that has waited longer than the 95th percentile of recent latencies may be
+sent to a second endpoint, and the first answer is used. Hedges are limited to a small
+share of all look-ups, so that they stop when every endpoint is slow. Source: Dean and
+Barroso, "The Tail at Scale" (CACM, 2013).
 """
 
 from math import ceil
 from typing import NamedTuple
 
 HEDGE_RATIO = 0.05
-"""Hedges allowed for each look-up."""
+"""Hedges earned by each look-up."""
 
 MAX_HEDGE_BALANCE = 5.0
-"""Most hedges that a quiet time can save up."""
+"""Maximum number of hedges that accumulate while none are sent."""
 
 HEDGE_COST = 1 - 1e-9
-"""A whole hedge, less the rounding error of adding up ratios."""
+"""Balance needed for one hedge: 1, less a margin for the rounding error of adding up
+ratios."""
 
 HEDGE_PERCENTILE = 95
 MAX_SAMPLES = 400
 MIN_SAMPLES = 40
-"""Without so many latencies the percentile says too little."""
+"""Latencies needed before the percentile is considered meaningful."""
 
 SAMPLES_PER_UPDATE = 20
-"""Latencies after which the percentile is worked out anew."""
+"""New latencies after which the percentile is recomputed."""
 
 
 class HedgingState(NamedTuple):
-    """Recent latencies in seconds, oldest first, and hedges left.
+    """Recent latencies in seconds, oldest first, and the balance of hedges.
 
-    ``delay`` is the percentile of the latencies, ``None`` while too few are
-    known; ``new_samples`` counts latencies since it was worked out.
+    ``delay`` is the percentile of the latencies, or ``None`` if there are too few.
+    ``new_samples`` counts the latencies added since it was computed.
     """
 
     ratio: float
@@ -42,17 +43,17 @@
 
 
 def initial_hedging(ratio: float = HEDGE_RATIO) -> HedgingState:
-    """Return hedging before the first look-up."""
+    """Return the state before the first look-up."""
     return HedgingState(ratio, 0.0, [])
 
 
 def on_look_up(state: HedgingState, now: float) -> HedgingState:
-    """Count a look-up that is sent for the first time."""
+    """Record the first attempt of a look-up."""
     return state._replace(balance=min(MAX_HEDGE_BALANCE, state.balance + state.ratio))
 
 
 def on_latency(state: HedgingState, latency: float, now: float) -> HedgingState:
-    """Take the latency of a look-up's answer, from its first attempt on."""
+    """Record the latency of an answer, measured from the first attempt."""
     state.latencies.append(latency)
     del state.latencies[:-MAX_SAMPLES]
     state = state._replace(new_samples=state.new_samples + 1)
@@ -64,14 +65,14 @@
 
 
 def hedge_delay(state: HedgingState) -> float | None:
-    """Return after how long a look-up is slow, or ``None`` if that is unknown."""
+    """Return the seconds after which a look-up counts as slow, if known."""
     return state.delay
 
 
 def may_hedge(
     state: HedgingState, waited: float, now: float
 ) -> tuple[HedgingState, bool]:
-    """Tell whether to hedge a look-up that has ``waited``; if so it is counted."""
+    """Return whether to hedge a look-up that has ``waited``, and spend the balance."""
     if state.delay is None or waited < state.delay or state.balance < HEDGE_COST:
         return state, False
     return state._replace(balance=state.balance - 1), True
