--- a/libs/routing/src/clementinebend_routing/models.py
+++ b/libs/routing/src/clementinebend_routing/models.py
@@ -1,13 +1,13 @@
-"""What is asked of routing, and its answers."""
+"""Input and results of endpoint selection."""
 
 from typing import NamedTuple
 
 
 class RoutingRequest(NamedTuple):
-    """What a request needs; ``tokens`` is the length of its prompt.
+    """Requirements of a request; ``tokens`` is the length of its prompt.
 
-    An empty ``model`` is a plain service. ``prefix_blocks`` are the names of
-    the prompt's blocks from its start; ``exclude`` are endpoints not to use.
+    ``model`` is empty for a plain service. ``prefix_blocks`` are the hashes of the
+    prompt's leading blocks. Endpoints in ``exclude`` are not selected.
     """
 
     service: str
@@ -19,9 +19,9 @@
 
 
 class Choice(NamedTuple):
-    """The endpoint to use, and what was expected of it.
+    """The selected endpoint and its expected time to first token.
 
-    Hand ``uncached`` on to ``on_dispatch``.
+    Pass ``uncached`` on to ``on_dispatch``.
     """
 
     endpoint: str
