--- a/libs/routing/src/clementinebend_routing/outliers.py
+++ b/libs/routing/src/clementinebend_routing/outliers.py
@@ -11,7 +11,7 @@
 """Failures in a row that eject an endpoint."""
 
 FIRST_EJECTION_SECONDS = 5.0
-LONGEST_EJECTION_SECONDS = 120.0
+MAX_EJECTION_SECONDS = 120.0
 
 MAX_EJECTED_SHARE = 0.34
 """Largest share of a service's endpoints that is ejected at one time."""
@@ -33,7 +33,7 @@
     if failures < FAILURES_TO_EJECT or not may_eject:
         return health._replace(failures=failures)
     seconds = FIRST_EJECTION_SECONDS * 2**health.ejections
-    until = now + min(LONGEST_EJECTION_SECONDS, seconds)
+    until = now + min(MAX_EJECTION_SECONDS, seconds)
     return Health(0, min(health.ejections + 1, 10), until)
 
 
