--- a/libs/routing/src/clementinebend_routing/outliers.py
+++ b/libs/routing/src/clementinebend_routing/outliers.py
@@ -1,24 +1,24 @@
-"""Outlier ejection: endpoints that fail again and again get no work for a while.
+"""Outlier ejection: an endpoint with repeated failures receives no requests for a time.
 
-The time doubles with each ejection in a row. Only a bounded share of a
-service's endpoints is ejected at one time: when most fail, the fault lies
-elsewhere, and the rest must not be buried under all of the load.
+The time doubles with each consecutive ejection. Only a limited share of a service's
+endpoints is ejected at one time: when most of them fail, the cause lies elsewhere, and
+the remaining ones must not receive the whole load.
 """
 
 from typing import NamedTuple
 
 FAILURES_TO_EJECT = 4
-"""Failures in a row that eject an endpoint."""
+"""Consecutive failures after which an endpoint is ejected."""
 
 FIRST_EJECTION_SECONDS = 5.0
 MAX_EJECTION_SECONDS = 120.0
 
 MAX_EJECTED_SHARE = 0.34
-"""Largest share of a service's endpoints that is ejected at one time."""
+"""Maximum share of a service's endpoints that is ejected at one time."""
 
 
 class Health(NamedTuple):
-    """Failures in a row, ejections since the last success, and the latest end."""
+    """Consecutive failures, ejections since the last success, and the last expiry."""
 
     failures: int = 0
     ejections: int = 0
@@ -26,7 +26,7 @@
 
 
 def on_result(health: Health, ok: bool, may_eject: bool, now: float) -> Health:
-    """Take the end of a run; ``may_eject`` tells that the share allows one more."""
+    """Record the end of a run; ``may_eject`` allows one more ejection."""
     if ok:
         return health._replace(failures=0, ejections=0)
     failures = health.failures + 1
@@ -38,10 +38,10 @@
 
 
 def is_ejected(health: Health, now: float) -> bool:
-    """Tell whether the endpoint is to get no work now."""
+    """Return whether the endpoint is ejected."""
     return now < health.ejected_until
 
 
 def ejection_allowed(ejected: int, endpoints: int) -> bool:
-    """Tell whether one more of ``endpoints`` may be ejected beside ``ejected``."""
+    """Return whether one more of ``endpoints`` may be ejected."""
     return ejected + 1 <= max(1, int(endpoints * MAX_EJECTED_SHARE)) < endpoints
