--- a/libs/routing/src/clementinebend_routing/placement.py
+++ b/libs/routing/src/clementinebend_routing/placement.py
@@ -26,12 +26,12 @@
     size: int
 
 
-class Room(NamedTuple):
-    """An endpoint that can hold ``places`` models; ones it is loading count too."""
+class PlacementTarget(NamedTuple):
+    """An endpoint that can hold ``max_models`` models; ones it is loading count too."""
 
     endpoint: str
     zone: str
-    places: int
+    max_models: int
     models: tuple[str, ...]
 
 
@@ -63,7 +63,7 @@
 class Move(NamedTuple):
     """A model's next replica, and the one it takes the place of."""
 
-    room: Room
+    target: PlacementTarget
     model: str
     replaced: str | None
 
@@ -76,20 +76,20 @@
 def plan_placement(
     state: PlacementState,
     needs: Iterable[ModelNeed],
-    rooms: Iterable[Room],
+    targets: Iterable[PlacementTarget],
     now: float,
 ) -> tuple[PlacementState, tuple[PlacementOrder, ...]]:
     """Return the orders to give now; call again when they are carried out."""
     state = _refill(state, now)
     need_by_model = {need.model: need for need in needs if need.demand > 0}
-    room_by_name = {room.endpoint: room for room in rooms}
+    target_by_name = {target.endpoint: target for target in targets}
     orders: list[PlacementOrder] = []
-    while (move := _best_move(need_by_model, room_by_name)) is not None:
+    while (move := _best_move(need_by_model, target_by_name)) is not None:
         size = need_by_model[move.model].size
         if size > state.allowance:
             break
         state = state._replace(allowance=state.allowance - size)
-        room_by_name[move.room.endpoint] = _moved(move)
+        target_by_name[move.target.endpoint] = _moved(move)
         orders.extend(_orders(move))
     return state, tuple(orders)
 
@@ -101,20 +101,20 @@
 
 
 def _best_move(
-    needs: Mapping[str, ModelNeed], rooms: Mapping[str, Room]
+    needs: Mapping[str, ModelNeed], targets: Mapping[str, PlacementTarget]
 ) -> Move | None:
     """Return the move for the neediest model that has one, if any is worth it."""
-    replicas = _replicas(rooms.values())
+    replicas = _replicas(targets.values())
     neediest = sorted(
         needs.values(), key=lambda need: (-_need_of(need, replicas), need.model)
     )
-    moves = (_move_for(need, needs, replicas, rooms) for need in neediest)
+    moves = (_move_for(need, needs, replicas, targets) for need in neediest)
     return next((move for move in moves if move is not None), None)
 
 
-def _replicas(rooms: Iterable[Room]) -> dict[str, int]:
+def _replicas(targets: Iterable[PlacementTarget]) -> dict[str, int]:
     counts: dict[str, int] = {}
-    for model in chain.from_iterable(room.models for room in rooms):
+    for model in chain.from_iterable(target.models for target in targets):
         counts[model] = counts.get(model, 0) + 1
     return counts
 
@@ -129,30 +129,32 @@
     need: ModelNeed,
     needs: Mapping[str, ModelNeed],
     replicas: Mapping[str, int],
-    rooms: Mapping[str, Room],
+    targets: Mapping[str, PlacementTarget],
 ) -> Move | None:
-    without = [room for room in rooms.values() if need.model not in room.models]
-    free = [room for room in without if len(room.models) < room.places]
-    zones = [room.zone for room in rooms.values() if need.model in room.models]
+    without = [target for target in targets.values() if need.model not in target.models]
+    free = [target for target in without if len(target.models) < target.max_models]
+    zones = [target.zone for target in targets.values() if need.model in target.models]
     if free:
-        return Move(min(free, key=lambda room: _rank(room, zones)), need.model, None)
+        return Move(
+            min(free, key=lambda target: _rank(target, zones)), need.model, None
+        )
     gain = need.demand / (replicas.get(need.model, 0) + 1)
     swaps = [
-        (_loss(model, needs, replicas), _rank(room, zones), model, room)
-        for room in without
-        for model in room.models
+        (_loss(model, needs, replicas), _rank(target, zones), model, target)
+        for target in without
+        for model in target.models
     ]
     if not swaps:
         return None
-    loss, _, model, room = min(swaps, key=lambda swap: swap[:3])
+    loss, _, model, target = min(swaps, key=lambda swap: swap[:3])
     if need.model not in replicas and loss < float("inf"):
-        return Move(room, need.model, model)
-    return Move(room, need.model, model) if gain > WORTHWHILE * loss else None
+        return Move(target, need.model, model)
+    return Move(target, need.model, model) if gain > WORTHWHILE * loss else None
 
 
-def _rank(room: Room, zones: list[str]) -> tuple[int, int, str]:
+def _rank(target: PlacementTarget, zones: list[str]) -> tuple[int, int, str]:
     """Prefer a zone with fewer replicas of the model, then an emptier endpoint."""
-    return zones.count(room.zone), len(room.models), room.endpoint
+    return zones.count(target.zone), len(target.models), target.endpoint
 
 
 def _loss(
@@ -165,13 +167,13 @@
     return needs[model].demand / (count - 1) if count > 1 else float("inf")
 
 
-def _moved(move: Move) -> Room:
-    kept = (model for model in move.room.models if model != move.replaced)
-    return move.room._replace(models=(*kept, move.model))
+def _moved(move: Move) -> PlacementTarget:
+    kept = (model for model in move.target.models if model != move.replaced)
+    return move.target._replace(models=(*kept, move.model))
 
 
 def _orders(move: Move) -> tuple[PlacementOrder, ...]:
-    load = LoadModel(move.room.endpoint, move.model)
+    load = LoadModel(move.target.endpoint, move.model)
     if move.replaced is None:
         return (load,)
-    return UnloadModel(move.room.endpoint, move.replaced), load
+    return UnloadModel(move.target.endpoint, move.replaced), load
--- a/tests/unit/routing/test_placement.py
+++ b/tests/unit/routing/test_placement.py
@@ -10,7 +10,7 @@
     LoadModel,
     ModelNeed,
     PlacementOrder,
-    Room,
+    PlacementTarget,
     UnloadModel,
     empty_placement,
     plan_placement,
@@ -29,82 +29,86 @@
 
 
 @st.composite
-def some_rooms(draw: st.DrawFn) -> tuple[Room, ...]:
+def placement_targets(draw: st.DrawFn) -> tuple[PlacementTarget, ...]:
     sizes = draw(st.lists(st.integers(1, 3), min_size=1, max_size=6))
     return tuple(
-        Room(
+        PlacementTarget(
             f"e{number}",
             "ab"[number % 2],
-            places,
-            tuple(draw(st.permutations(MODELS))[: draw(st.integers(0, places))]),
+            max_models,
+            tuple(draw(st.permutations(MODELS))[: draw(st.integers(0, max_models))]),
         )
-        for number, places in enumerate(sizes)
+        for number, max_models in enumerate(sizes)
     )
 
 
 def carry_out(
-    rooms: tuple[Room, ...], orders: tuple[PlacementOrder, ...]
-) -> tuple[Room, ...]:
-    by_name = {room.endpoint: room for room in rooms}
+    targets: tuple[PlacementTarget, ...], orders: tuple[PlacementOrder, ...]
+) -> tuple[PlacementTarget, ...]:
+    by_name = {target.endpoint: target for target in targets}
     for order in orders:
-        room = by_name[order.endpoint]
+        target = by_name[order.endpoint]
         if isinstance(order, UnloadModel):
-            assert order.model in room.models
-            models = tuple(model for model in room.models if model != order.model)
+            assert order.model in target.models
+            models = tuple(model for model in target.models if model != order.model)
         else:
-            assert order.model not in room.models
-            models = (*room.models, order.model)
-        assert len(models) <= room.places
-        by_name[order.endpoint] = room._replace(models=models)
+            assert order.model not in target.models
+            models = (*target.models, order.model)
+        assert len(models) <= target.max_models
+        by_name[order.endpoint] = target._replace(models=models)
     return tuple(by_name.values())
 
 
-def placed(rooms: tuple[Room, ...]) -> set[str]:
-    return {model for room in rooms for model in room.models}
+def placed(targets: tuple[PlacementTarget, ...]) -> set[str]:
+    return {model for target in targets for model in target.models}
 
 
 @settings(max_examples=5_000 if FUZZ else 300, derandomize=not FUZZ, deadline=None)
-@given(needs=needs, rooms=some_rooms())
+@given(needs=needs, targets=placement_targets())
 def test_ends_at_rest_with_each_model_in_demand_where_there_is_room(
-    needs: list[ModelNeed], rooms: tuple[Room, ...]
+    needs: list[ModelNeed], targets: tuple[PlacementTarget, ...]
 ) -> None:
     state = empty_placement(PLENTY, 0.0)
-    state, orders = plan_placement(state, needs, rooms, 0.0)
-    after = carry_out(rooms, orders)
+    state, orders = plan_placement(state, needs, targets, 0.0)
+    after = carry_out(targets, orders)
     request = {need.model for need in needs if need.demand > 0}
-    assert placed(rooms) & request <= placed(after)
-    if sum(room.places for room in rooms) >= len(request):
+    assert placed(targets) & request <= placed(after)
+    if sum(target.max_models for target in targets) >= len(request):
         assert request <= placed(after)
     assert plan_placement(state, needs, after, 1.0)[1] == ()
 
 
 @settings(max_examples=2_000 if FUZZ else 100, derandomize=not FUZZ, deadline=None)
-@given(needs=needs, rooms=some_rooms(), rate=st.floats(0.01, 1))
+@given(needs=needs, targets=placement_targets(), rate=st.floats(0.01, 1))
 def test_loads_stay_within_the_rate_of_the_store(
-    needs: list[ModelNeed], rooms: tuple[Room, ...], rate: float
+    needs: list[ModelNeed], targets: tuple[PlacementTarget, ...], rate: float
 ) -> None:
     size_by_model = {need.model: need.size for need in needs}
     state = empty_placement(rate, 0.0)
     fetched = 0
     for minute in range(20):
-        state, orders = plan_placement(state, needs, rooms, minute * 60.0)
-        rooms = carry_out(rooms, orders)
+        state, orders = plan_placement(state, needs, targets, minute * 60.0)
+        targets = carry_out(targets, orders)
         loads = (order for order in orders if isinstance(order, LoadModel))
         fetched += sum(size_by_model[load.model] for load in loads)
         assert fetched <= rate * (BURST_SECONDS + minute * 60.0) + 1e-6
 
 
 def test_replicas_follow_demand_and_spread_over_zones() -> None:
-    rooms = tuple(Room(f"e{number}", "ab"[number // 3], 1, ()) for number in range(6))
+    targets = tuple(
+        PlacementTarget(f"e{number}", "ab"[number // 3], 1, ()) for number in range(6)
+    )
     needs = (ModelNeed("big", 50.0, 10), ModelNeed("small", 10.0, 10))
-    _, orders = plan_placement(empty_placement(PLENTY, 0.0), needs, rooms, 0.0)
-    after = carry_out(rooms, orders)
-    big = [room.zone for room in after if "big" in room.models]
+    _, orders = plan_placement(empty_placement(PLENTY, 0.0), needs, targets, 0.0)
+    after = carry_out(targets, orders)
+    big = [target.zone for target in after if "big" in target.models]
     assert (len(big), len(after) - len(big)) == (5, 1)
     assert sorted(big) in (["a", "a", "a", "b", "b"], ["a", "a", "b", "b", "b"])
 
 
 def test_a_small_change_of_demand_moves_nothing() -> None:
-    rooms = tuple(Room(f"e{number}", "a", 1, ("aabb"[number],)) for number in range(4))
+    targets = tuple(
+        PlacementTarget(f"e{number}", "a", 1, ("aabb"[number],)) for number in range(4)
+    )
     needs = (ModelNeed("a", 12.0, 10), ModelNeed("b", 10.0, 10))
-    assert plan_placement(empty_placement(PLENTY, 0.0), needs, rooms, 0.0)[1] == ()
+    assert plan_placement(empty_placement(PLENTY, 0.0), needs, targets, 0.0)[1] == ()
