--- a/libs/routing/src/clementinebend_routing/placement.py
+++ b/libs/routing/src/clementinebend_routing/placement.py
@@ -11,7 +11,7 @@
 from itertools import chain
 from typing import NamedTuple
 
-WORTHWHILE = 1.5
+MIN_GAIN_RATIO = 1.5
 """A replica moves only for this many times the demand that it serves now."""
 
 BURST_SECONDS = 120.0
@@ -68,7 +68,7 @@
     replaced: str | None
 
 
-def empty_placement(rate: float, now: float) -> PlacementState:
+def initial_placement(rate: float, now: float) -> PlacementState:
     """Return placement that may start with a burst's worth of loads."""
     return PlacementState(rate, rate * BURST_SECONDS, now)
 
@@ -89,14 +89,14 @@
         if size > state.allowance:
             break
         state = state._replace(allowance=state.allowance - size)
-        target_by_name[move.target.endpoint] = _moved(move)
+        target_by_name[move.target.endpoint] = _with_move(move)
         orders.extend(_orders(move))
     return state, tuple(orders)
 
 
 def _refill(state: PlacementState, now: float) -> PlacementState:
-    earned = state.rate * max(0.0, now - state.updated_at)
-    allowance = min(state.rate * BURST_SECONDS, state.allowance + earned)
+    accrued = state.rate * max(0.0, now - state.updated_at)
+    allowance = min(state.rate * BURST_SECONDS, state.allowance + accrued)
     return state._replace(allowance=allowance, updated_at=now)
 
 
@@ -106,7 +106,8 @@
     """Return the move for the neediest model that has one, if any is worth it."""
     replicas = _replicas(targets.values())
     neediest = sorted(
-        needs.values(), key=lambda need: (-_need_of(need, replicas), need.model)
+        needs.values(),
+        key=lambda need: (-_demand_per_replica(need, replicas), need.model),
     )
     moves = (_move_for(need, needs, replicas, targets) for need in neediest)
     return next((move for move in moves if move is not None), None)
@@ -119,7 +120,7 @@
     return counts
 
 
-def _need_of(need: ModelNeed, replicas: Mapping[str, int]) -> float:
+def _demand_per_replica(need: ModelNeed, replicas: Mapping[str, int]) -> float:
     """Return the demand for each replica, infinite without one."""
     count = replicas.get(need.model, 0)
     return need.demand / count if count else float("inf")
@@ -131,25 +132,40 @@
     replicas: Mapping[str, int],
     targets: Mapping[str, PlacementTarget],
 ) -> Move | None:
-    without = [target for target in targets.values() if need.model not in target.models]
-    free = [target for target in without if len(target.models) < target.max_models]
+    without_model = [
+        target for target in targets.values() if need.model not in target.models
+    ]
+    with_capacity = [
+        target for target in without_model if len(target.models) < target.max_models
+    ]
     zones = [target.zone for target in targets.values() if need.model in target.models]
-    if free:
+    if with_capacity:
         return Move(
-            min(free, key=lambda target: _rank(target, zones)), need.model, None
+            min(with_capacity, key=lambda target: _rank(target, zones)),
+            need.model,
+            None,
         )
-    gain = need.demand / (replicas.get(need.model, 0) + 1)
+    gained_demand = need.demand / (replicas.get(need.model, 0) + 1)
     swaps = [
-        (_loss(model, needs, replicas), _rank(target, zones), model, target)
-        for target in without
+        (
+            _demand_after_removal(model, needs, replicas),
+            _rank(target, zones),
+            model,
+            target,
+        )
+        for target in without_model
         for model in target.models
     ]
     if not swaps:
         return None
-    loss, _, model, target = min(swaps, key=lambda swap: swap[:3])
-    if need.model not in replicas and loss < float("inf"):
+    lost_demand, _, model, target = min(swaps, key=lambda swap: swap[:3])
+    if need.model not in replicas and lost_demand < float("inf"):
         return Move(target, need.model, model)
-    return Move(target, need.model, model) if gain > WORTHWHILE * loss else None
+    return (
+        Move(target, need.model, model)
+        if gained_demand > MIN_GAIN_RATIO * lost_demand
+        else None
+    )
 
 
 def _rank(target: PlacementTarget, zones: list[str]) -> tuple[int, int, str]:
@@ -157,7 +173,7 @@
     return zones.count(target.zone), len(target.models), target.endpoint
 
 
-def _loss(
+def _demand_after_removal(
     model: str, needs: Mapping[str, ModelNeed], replicas: Mapping[str, int]
 ) -> float:
     """Return the demand for each replica that is left after one has gone."""
@@ -167,7 +183,7 @@
     return needs[model].demand / (count - 1) if count > 1 else float("inf")
 
 
-def _moved(move: Move) -> PlacementTarget:
+def _with_move(move: Move) -> PlacementTarget:
     kept = (model for model in move.target.models if model != move.replaced)
     return move.target._replace(models=(*kept, move.model))
 
--- a/tests/unit/routing/test_placement.py
+++ b/tests/unit/routing/test_placement.py
@@ -12,7 +12,7 @@
     PlacementOrder,
     PlacementTarget,
     UnloadModel,
-    empty_placement,
+    initial_placement,
     plan_placement,
 )
 
@@ -68,13 +68,13 @@
 def test_ends_at_rest_with_each_model_in_demand_where_there_is_room(
     needs: list[ModelNeed], targets: tuple[PlacementTarget, ...]
 ) -> None:
-    state = empty_placement(PLENTY, 0.0)
+    state = initial_placement(PLENTY, 0.0)
     state, orders = plan_placement(state, needs, targets, 0.0)
     after = carry_out(targets, orders)
-    request = {need.model for need in needs if need.demand > 0}
-    assert placed(targets) & request <= placed(after)
-    if sum(target.max_models for target in targets) >= len(request):
-        assert request <= placed(after)
+    demanded = {need.model for need in needs if need.demand > 0}
+    assert placed(targets) & demanded <= placed(after)
+    if sum(target.max_models for target in targets) >= len(demanded):
+        assert demanded <= placed(after)
     assert plan_placement(state, needs, after, 1.0)[1] == ()
 
 
@@ -84,7 +84,7 @@
     needs: list[ModelNeed], targets: tuple[PlacementTarget, ...], rate: float
 ) -> None:
     size_by_model = {need.model: need.size for need in needs}
-    state = empty_placement(rate, 0.0)
+    state = initial_placement(rate, 0.0)
     fetched = 0
     for minute in range(20):
         state, orders = plan_placement(state, needs, targets, minute * 60.0)
@@ -99,7 +99,7 @@
         PlacementTarget(f"e{number}", "ab"[number // 3], 1, ()) for number in range(6)
     )
     needs = (ModelNeed("big", 50.0, 10), ModelNeed("small", 10.0, 10))
-    _, orders = plan_placement(empty_placement(PLENTY, 0.0), needs, targets, 0.0)
+    _, orders = plan_placement(initial_placement(PLENTY, 0.0), needs, targets, 0.0)
     after = carry_out(targets, orders)
     big = [target.zone for target in after if "big" in target.models]
     assert (len(big), len(after) - len(big)) == (5, 1)
@@ -111,4 +111,4 @@
         PlacementTarget(f"e{number}", "a", 1, ("aabb"[number],)) for number in range(4)
     )
     needs = (ModelNeed("a", 12.0, 10), ModelNeed("b", 10.0, 10))
-    assert plan_placement(empty_placement(PLENTY, 0.0), needs, targets, 0.0)[1] == ()
+    assert plan_placement(initial_placement(PLENTY, 0.0), needs, targets, 0.0)[1] == ()
