--- a/libs/routing/src/clementinebend_routing/placement.py
+++ b/libs/routing/src/clementinebend_routing/placement.py
@@ -1,10 +1,10 @@
-"""Placement of models on endpoints, within the rate of the weight store.
+"""Placement of models on endpoints, limited by the bandwidth of the weight store.
 
-Greedy: the model with the most demand for each of its replicas gets the next
-one, on an endpoint with room, or in place of the model that needs its replica
-least. A move must be worth it by a margin, so that small changes of demand
-move nothing, and loads are paid from an allowance that grows at the store's
-rate. A model in demand never loses its last replica.
+The algorithm is greedy: the model with the highest demand per replica gets the next
+replica, on an endpoint with free capacity or in place of the model that loses least by
+it. A replacement must gain more than it costs by a margin, so that small changes in
+demand do not move replicas. Loads are limited by an allowance of bytes that accrues at
+the store's rate. The last replica of a model in demand is never removed.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,14 +12,15 @@
 from typing import NamedTuple
 
 MIN_GAIN_RATIO = 1.5
-"""A replica moves only for this many times the demand that it serves now."""
+"""A replica is replaced only if the demand gained is more than this many times the
+demand lost."""
 
 BURST_SECONDS = 120.0
-"""Time's worth of the store's rate that can be saved up."""
+"""Maximum allowance, in seconds of the store's rate."""
 
 
 class ModelNeed(NamedTuple):
-    """Demand for a model in any one unit, and the size of its weights in bytes."""
+    """Demand for a model in an arbitrary unit, and the size of its weights in bytes."""
 
     model: str
     demand: float
@@ -27,7 +28,7 @@
 
 
 class PlacementTarget(NamedTuple):
-    """An endpoint that can hold ``max_models`` models; ones it is loading count too."""
+    """An endpoint with capacity for ``max_models`` models, including those loading."""
 
     endpoint: str
     zone: str
@@ -36,14 +37,14 @@
 
 
 class LoadModel(NamedTuple):
-    """Effect: the endpoint's sidecar is to order the engine to load a model."""
+    """Effect: the endpoint's sidecar orders the engine to load a model."""
 
     endpoint: str
     model: str
 
 
 class UnloadModel(NamedTuple):
-    """Effect: the endpoint's sidecar is to order the engine to unload a model."""
+    """Effect: the endpoint's sidecar orders the engine to unload a model."""
 
     endpoint: str
     model: str
@@ -53,7 +54,7 @@
 
 
 class PlacementState(NamedTuple):
-    """Bytes that may be fetched now, and the store's bytes in a second."""
+    """The bytes that may be loaded now, and the store's rate in bytes per second."""
 
     rate: float
     allowance: float
@@ -61,7 +62,7 @@
 
 
 class Move(NamedTuple):
-    """A model's next replica, and the one it takes the place of."""
+    """A new replica of a model, and the model that it replaces, if any."""
 
     target: PlacementTarget
     model: str
@@ -69,7 +70,7 @@
 
 
 def initial_placement(rate: float, now: float) -> PlacementState:
-    """Return placement that may start with a burst's worth of loads."""
+    """Return a state with a full allowance."""
     return PlacementState(rate, rate * BURST_SECONDS, now)
 
 
@@ -79,7 +80,7 @@
     targets: Iterable[PlacementTarget],
     now: float,
 ) -> tuple[PlacementState, tuple[PlacementOrder, ...]]:
-    """Return the orders to give now; call again when they are carried out."""
+    """Return the orders to issue now; call again when they are completed."""
     state = _refill(state, now)
     need_by_model = {need.model: need for need in needs if need.demand > 0}
     target_by_name = {target.endpoint: target for target in targets}
@@ -103,7 +104,7 @@
 def _best_move(
     needs: Mapping[str, ModelNeed], targets: Mapping[str, PlacementTarget]
 ) -> Move | None:
-    """Return the move for the neediest model that has one, if any is worth it."""
+    """Return the move for the model with the highest demand per replica, if any."""
     replicas = _replicas(targets.values())
     neediest = sorted(
         needs.values(),
@@ -121,7 +122,7 @@
 
 
 def _demand_per_replica(need: ModelNeed, replicas: Mapping[str, int]) -> float:
-    """Return the demand for each replica, infinite without one."""
+    """Return the demand per replica, or infinity without replicas."""
     count = replicas.get(need.model, 0)
     return need.demand / count if count else float("inf")
 
@@ -169,14 +170,14 @@
 
 
 def _rank(target: PlacementTarget, zones: list[str]) -> tuple[int, int, str]:
-    """Prefer a zone with fewer replicas of the model, then an emptier endpoint."""
+    """Prefer zones with fewer replicas of the model, then emptier endpoints."""
     return zones.count(target.zone), len(target.models), target.endpoint
 
 
 def _demand_after_removal(
     model: str, needs: Mapping[str, ModelNeed], replicas: Mapping[str, int]
 ) -> float:
-    """Return the demand for each replica that is left after one has gone."""
+    """Return the demand per replica after one replica is removed."""
     if model not in needs:
         return 0.0
     count = replicas[model]
