--- a/libs/relay/src/clementinebend_relay/survey.py
+++ b/libs/relay/src/clementinebend_relay/survey.py
@@ -15,10 +15,10 @@
 from clementinebend_routing.endpoint_queue import QueueReport
 from clementinebend_routing.prefill import (
     Pace,
-    PromptPlace,
-    choose_place,
+    PrefillCandidate,
+    choose_candidate,
+    median_pace,
     slowness,
-    usual_pace,
 )
 from clementinebend_routing.sessions import SessionMemory, best_source
 
@@ -224,9 +224,9 @@
     def _for_prompt(self, offers: list[Offer]) -> Offer:
         least = min(offer.report.unread for offer in offers)
         states = self.endpoints.states.values()
-        usual = usual_pace(state.pace for state in states)
+        usual = median_pace(state.pace for state in states)
         places = [
-            PromptPlace(
+            PrefillCandidate(
                 offer.state.endpoint.name,
                 offer.report.ahead,
                 least,
@@ -236,7 +236,7 @@
             )
             for offer in offers
         ]
-        chosen = choose_place(places)
+        chosen = choose_candidate(places)
         return offers[places.index(chosen)]
 
     def _load(self, offer: Offer) -> float:
--- a/tests/unit/routing/test_endpoint_queue.py
+++ b/tests/unit/routing/test_endpoint_queue.py
@@ -11,7 +11,7 @@
     UNREAD_TIMEOUT,
     EndpointQueue,
 )
-from clementinebend_routing.prefill import PromptPlace, choose_place
+from clementinebend_routing.prefill import PrefillCandidate, choose_candidate
 from clementinebend_routing.sessions import PromptPart
 
 PARTS = (PromptPart("kind", 500), PromptPart("session", 4_900), PromptPart("own", 900))
@@ -119,7 +119,7 @@
         tokens = min(60_000, int(random.expovariate(1 / 9_000)) + 500)
         names = random.sample(range(ENDPOINTS), probed)
         places = [
-            PromptPlace(
+            PrefillCandidate(
                 str(name),
                 max(0.0, seen[name] - now) * TOKENS_PER_SECOND,
                 tokens,
@@ -128,7 +128,7 @@
             )
             for name in sorted(names, key=lambda name: seen[name])
         ]
-        chosen = int(choose_place(places).name)
+        chosen = int(choose_candidate(places).name)
         wait = max(0.0, free_at[chosen] - now)
         free_at[chosen] = now + wait + tokens / TOKENS_PER_SECOND
         late += wait > LATE
--- a/tests/unit/routing/test_prefill.py
+++ b/tests/unit/routing/test_prefill.py
@@ -3,51 +3,53 @@
 from random import Random
 
 from clementinebend_routing.prefill import (
-    LEAST_SLOWNESS,
-    LONG_TOKENS,
-    MOST_SLOWNESS,
-    MOVE_TOKENS,
+    LONG_PROMPT_TOKENS,
+    MAX_SLOWNESS,
+    MIN_SLOWNESS,
+    MOVE_THRESHOLD_TOKENS,
     Pace,
-    PromptPlace,
-    choose_place,
+    PrefillCandidate,
+    choose_candidate,
+    median_pace,
     on_first_token,
     slowness,
-    usual_pace,
 )
 
 READ_PER_SECOND = 66_000
 """Prompt tokens that the endpoints of this load read in a second."""
 
 
-def place(name: str, ahead: float = 0, unread: int = 0, slow: float = 1) -> PromptPlace:
-    return PromptPlace(name, ahead, unread, 0, slow)
+def place(
+    name: str, ahead: float = 0, unread: int = 0, slow: float = 1
+) -> PrefillCandidate:
+    return PrefillCandidate(name, ahead, unread, 0, slow)
 
 
 def test_the_sessions_first_endpoint_is_kept_while_others_are_hardly_better() -> None:
-    ranked = [place("a", MOVE_TOKENS), place("b"), place("c")]
-    assert choose_place(ranked).name == "a"
+    ranked = [place("a", MOVE_THRESHOLD_TOKENS), place("b"), place("c")]
+    assert choose_candidate(ranked).name == "a"
 
 
 def test_a_prompt_passes_by_an_endpoint_with_much_to_read() -> None:
     ranked = [place("a", 50_000), place("b", 20_000), place("c", 100)]
-    assert choose_place(ranked).name == "c"
+    assert choose_candidate(ranked).name == "c"
 
 
 def test_what_must_be_read_counts_like_what_is_ahead() -> None:
     ranked = [place("a", unread=9_000), place("b", unread=1_000)]
-    assert choose_place(ranked).name == "b"
+    assert choose_candidate(ranked).name == "b"
 
 
 def test_a_slow_endpoint_counts_with_its_pace() -> None:
     ranked = [place("a", 5_000, slow=4), place("b", 9_000)]
-    assert choose_place(ranked).name == "b"
+    assert choose_candidate(ranked).name == "b"
 
 
 def test_a_long_prompt_goes_where_few_streams_run_and_a_short_one_need_not() -> None:
     crowded, calm = place("a")._replace(running=8), place("b", 9_000)
-    assert choose_place([crowded, calm]).name == "a"
-    long = [each._replace(unread=LONG_TOKENS + 1) for each in (crowded, calm)]
-    assert choose_place(long).name == "b"
+    assert choose_candidate([crowded, calm]).name == "a"
+    long = [each._replace(unread=LONG_PROMPT_TOKENS + 1) for each in (crowded, calm)]
+    assert choose_candidate(long).name == "b"
 
 
 def test_slowness_is_seen_from_first_tokens_and_passes() -> None:
@@ -55,8 +57,8 @@
     for _ in range(20):
         usual = on_first_token(usual, 0.1, 5_000)
         slow = on_first_token(slow, 0.5, 5_000)
-    pool = usual_pace([usual, usual, slow, Pace()])
-    assert slowness(usual, pool) == LEAST_SLOWNESS
+    pool = median_pace([usual, usual, slow, Pace()])
+    assert slowness(usual, pool) == MIN_SLOWNESS
     assert 4.5 < slowness(slow, pool) < 5.5
     for _ in range(20):
         slow = on_first_token(slow, 0.1, 5_000)
@@ -65,9 +67,9 @@
 
 def test_slowness_is_bounded_and_an_unknown_endpoint_is_a_usual_one() -> None:
     dead = on_first_token(Pace(), 60.0, 0)
-    assert slowness(dead, usual_pace([Pace(0.00002)] * 3)) == MOST_SLOWNESS
-    assert slowness(Pace(), usual_pace([dead])) == LEAST_SLOWNESS
-    assert slowness(dead, usual_pace([])) == LEAST_SLOWNESS
+    assert slowness(dead, median_pace([Pace(0.00002)] * 3)) == MAX_SLOWNESS
+    assert slowness(Pace(), median_pace([dead])) == MIN_SLOWNESS
+    assert slowness(dead, median_pace([])) == MIN_SLOWNESS
 
 
 def late_first_tokens(by_pace: bool) -> int:
@@ -85,16 +87,16 @@
         now += random.choice((0.0, 0.0, 0.08))
         tokens = min(54_000.0, random.lognormvariate(8.0, 1.2))
         places = [
-            PromptPlace(
+            PrefillCandidate(
                 str(name),
                 max(0.0, busy_until[name] - now) * READ_PER_SECOND * speed[name],
                 round(tokens),
                 0,
-                slowness(paces[name], usual_pace(paces)) if by_pace else 1.0,
+                slowness(paces[name], median_pace(paces)) if by_pace else 1.0,
             )
             for name in ((number + turn) % 9 for turn in range(9))
         ]
-        chosen = choose_place(places)
+        chosen = choose_candidate(places)
         name = int(chosen.name)
         taken = (chosen.ahead + tokens) / READ_PER_SECOND / speed[name]
         busy_until[name] = now + taken
