--- a/libs/routing/src/clementinebend_routing/prefill.py
+++ b/libs/routing/src/clementinebend_routing/prefill.py
@@ -1,10 +1,11 @@
-"""Choice of the endpoint that gives a prompt its first token soonest. Pure.
-
-Load pattern: prompts whose lengths differ by a factor of a hundred arrive in
-clumps, while part of the pool is slow, empty or new. An endpoint reads prompts one
-after the other, so what lies before a prompt decides when its first token comes.
-Kept parts can be fetched from another endpoint in an eighth of the time that
-reading them takes: where a session's parts lie matters less than what is ahead.
+"""Selection of the endpoint with the earliest first token for a prompt. Pure functions.
+
+Load pattern: prompts whose lengths differ by a factor of a hundred arrive in bursts
+while some endpoints of the pool are slow, idle or new. An endpoint prefills prompts one
+after the other, so the queued prompts determine when the first token of a new one is
+produced. Cached parts can be fetched from another endpoint in an eighth of the time
+needed to prefill them. Where a session's parts are cached therefore matters less than
+the queue.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,44 +13,47 @@
 from typing import NamedTuple
 
 FETCH_COST_RATIO = 0.125
-"""Time to fetch a token, in parts of the time to read one."""
+"""Time to fetch a token, relative to the time to prefill it."""
 
 MOVE_THRESHOLD_TOKENS = 6_000
-"""How many tokens less must lie before a prompt at an endpoint further down in its
-session's order: what is moved is paid for, and others choose at the same time."""
+"""How many fewer tokens of expected work an endpoint must have to be preferred to an
+earlier one in the order of the session. Moving a session costs a transfer, and other
+entries choose at the same time."""
 
 SAMPLE_WEIGHT = 0.2
-"""Weight of one call in an endpoint's observed pace: some five calls show a change."""
+"""Weight of one call in the moving average of an endpoint's pace: about five calls are
+needed for a change to show."""
 
 OVERHEAD_TOKENS = 1_500
-"""What a first token takes without any prompt, in tokens read meanwhile: the way
-there and back, and one step."""
+"""Fixed cost of a first token, as the number of tokens that could be prefilled
+meanwhile: the network round trip and one engine step."""
 
 MIN_SLOWNESS, MAX_SLOWNESS = 1.0, 8.0
-"""Bounds of the factor by which an endpoint is slower than the usual one: the
-fastest ones must not draw all, and the slowest ones must be tried again."""
+"""Bounds of the factor by which an endpoint is slower than the median. The lower bound
+keeps the fastest endpoints from attracting all prompts, the upper one lets the slowest
+ones be tried again."""
 
 
 LONG_PROMPT_TOKENS = 20_000
-"""Prompts longer than this hold up the streams beside them for several events in a
-row, beyond the pause that callers accept, and go where few streams run."""
+"""Prompts longer than this delay the streams at the endpoint for several events in a
+row, beyond the pause that callers accept. They are sent where few streams run."""
 
 STREAM_COST_TOKENS = 3_000
-"""What holding up one stream counts for, in tokens ahead of the prompt."""
+"""Cost of delaying one stream, as a number of tokens queued before the prompt."""
 
 
 class Pace(NamedTuple):
-    """Seconds for each token that lay before a first token; ``None`` if unknown."""
+    """Seconds per token until a first token; ``None`` if unknown."""
 
     seconds: float | None = None
 
 
 class PrefillCandidate(NamedTuple):
-    """One endpoint as a place for a prompt; amounts are in tokens.
+    """An endpoint considered for a prompt; amounts are in tokens.
 
-    ``ahead`` is what it still has to read before the prompt, of all entries.
-    ``unread`` is what it would have to read of the prompt, ``fetched`` what it would
-    fetch of it. ``running`` is how many calls it has.
+    ``ahead`` is the number of tokens queued before the prompt, from all entries. Of the
+    prompt itself, ``unread`` tokens would be prefilled and ``fetched`` tokens fetched
+    from another endpoint. ``running`` is the number of calls at the endpoint.
     """
 
     name: str
@@ -61,7 +65,7 @@
 
 
 def on_first_token(pace: Pace, elapsed: float, tokens: float) -> Pace:
-    """Take the ``elapsed`` seconds to a first token, with ``tokens`` to be read."""
+    """Update the pace with a first token after ``elapsed`` seconds and ``tokens``."""
     sample = elapsed / (tokens + OVERHEAD_TOKENS)
     if pace.seconds is None:
         return Pace(sample)
@@ -69,13 +73,13 @@
 
 
 def median_pace(pool: Iterable[Pace]) -> Pace:
-    """Return the median pace of a pool, unknown if nothing is known of any."""
+    """Return the median pace of a pool, unknown if no pace is known."""
     known = [pace.seconds for pace in pool if pace.seconds is not None]
     return Pace(median(known)) if known else Pace()
 
 
 def slowness(pace: Pace, pool_median: Pace) -> float:
-    """Return by what factor an endpoint is slower than the usual one of its pool."""
+    """Return the factor by which an endpoint is slower than the median of its pool."""
     if pace.seconds is None or pool_median.seconds is None:
         return MIN_SLOWNESS
     factor = pace.seconds / pool_median.seconds
@@ -83,10 +87,10 @@
 
 
 def choose_candidate(ranked: Sequence[PrefillCandidate]) -> PrefillCandidate:
-    """Return the place where the first token comes soonest.
+    """Return the candidate with the earliest expected first token.
 
-    ``ranked`` is in the session's order, which all entries share: an earlier one is
-    kept unless a later one is better by ``MOVE_THRESHOLD_TOKENS``.
+    ``ranked`` is in the order of the session, which is the same for all entries. An
+    earlier candidate is kept unless a later one is better by ``MOVE_THRESHOLD_TOKENS``.
     """
     best = ranked[0]
     for candidate in ranked[1:]:
@@ -96,7 +100,7 @@
 
 
 def _expected_tokens(candidate: PrefillCandidate) -> float:
-    """Return the time to the first token, in tokens of the usual endpoint's pace."""
+    """Return the time to first token, in tokens at the median pace."""
     work = candidate.ahead + candidate.unread + FETCH_COST_RATIO * candidate.fetched
     if candidate.unread > LONG_PROMPT_TOKENS:
         work += STREAM_COST_TOKENS * candidate.running
