--- a/libs/routing/src/clementinebend_routing/prefix.py
+++ b/libs/routing/src/clementinebend_routing/prefix.py
@@ -1,10 +1,10 @@
-"""What is known of an endpoint's prefix cache.
+"""Model of an endpoint's prefix cache, built from two sources.
 
-Two sources are joined. Cache events tell what the engine stored and evicted,
-late and with gaps: after a gap in their sequence the map they built is
-dropped, and the endpoint is listed for a resync. Affinity memory holds the
-prefixes this router dispatched there itself, which an engine stores long
-before its event arrives. Source: Preble (Srivatsa et al., 2024).
+Cache events report what the engine stored and evicted, late and with gaps. After a gap
+in their sequence the blocks known from events are dropped, and the endpoint is listed
+for a resync. Affinity records hold the prefixes that this router dispatched to the
+endpoint, which the engine stores long before the event arrives. Source: Preble
+(Srivatsa et al., 2024).
 """
 
 from collections.abc import Iterable
@@ -14,23 +14,23 @@
 BLOCK_DIGEST_BYTES = 8
 
 EVENT_BLOCK_LIMIT = 65_536
-"""Most blocks kept from events for one endpoint."""
+"""Maximum number of blocks kept from events for one endpoint."""
 
 AFFINITY_BLOCK_LIMIT = 8_192
-"""Most blocks kept from own dispatches for one endpoint."""
+"""Maximum number of blocks kept from this router's dispatches for one endpoint."""
 
 AFFINITY_SECONDS = 60.0
-"""How long an own dispatch is believed without an event for it."""
+"""How long a dispatched block counts as cached without an event that confirms it."""
 
 FIRST_SEQUENCE = 1
 
 
 class PrefixMap(NamedTuple):
-    """Blocks believed to be in one endpoint's cache.
+    """Blocks assumed to be in one endpoint's cache.
 
-    ``next_sequence`` is ``None`` before the first event. ``stored`` is in
-    order of storing, ``dispatched`` maps a block to the time of the latest
-    dispatch, oldest first.
+    ``next_sequence`` is ``None`` before the first event. ``stored`` is in the order of
+    storing. ``dispatched`` maps each block to the time of its latest dispatch, oldest
+    first. ``needs_resync`` is set after a gap in the events until the next snapshot.
     """
 
     stored: dict[str, None]
@@ -40,15 +40,15 @@
 
 
 def empty_prefix_map() -> PrefixMap:
-    """Return the map of an endpoint of which nothing is known."""
+    """Return the map of an endpoint without events or dispatches."""
     return PrefixMap({}, {})
 
 
 def prefix_blocks(data: bytes, block_bytes: int) -> tuple[str, ...]:
-    """Return the names of the whole blocks of a prompt.
+    """Return the chained hashes of the complete blocks of a prompt.
 
-    Each name depends on all of the prompt up to the end of its block, so
-    equal names mean equal prefixes.
+    Each hash covers the prompt up to the end of its block, so equal hashes mean equal
+    prefixes.
     """
     digest = blake2b(digest_size=BLOCK_DIGEST_BYTES)
     names = []
@@ -59,7 +59,7 @@
 
 
 def cached_blocks(prefix: PrefixMap, blocks: tuple[str, ...], now: float) -> int:
-    """Return how many leading ``blocks`` are believed to be cached."""
+    """Return how many leading ``blocks`` are assumed to be cached."""
     stored = prefix.stored
     dispatched = prefix.dispatched
     oldest = now - AFFINITY_SECONDS
@@ -70,7 +70,7 @@
 
 
 def record_dispatch(prefix: PrefixMap, blocks: Iterable[str], now: float) -> None:
-    """Note that a prompt with these blocks was sent to the endpoint."""
+    """Record that a prompt with these blocks was sent to the endpoint."""
     dispatched = prefix.dispatched
     for block in blocks:
         dispatched.pop(block, None)
@@ -84,7 +84,7 @@
     stored: tuple[str, ...],
     evicted: tuple[str, ...],
 ) -> PrefixMap:
-    """Take one cache event; a gap before it drops the map built so far."""
+    """Apply one cache event; after a gap the blocks known from events are dropped."""
     expected = prefix.next_sequence
     if expected is not None and sequence < expected and sequence != FIRST_SEQUENCE:
         return prefix
@@ -104,13 +104,13 @@
 def apply_snapshot(
     prefix: PrefixMap, sequence: int, blocks: Iterable[str]
 ) -> PrefixMap:
-    """Take the whole content of the cache as of event ``sequence``."""
+    """Apply the full content of the cache as of event ``sequence``."""
     stored = dict.fromkeys(blocks)
     return PrefixMap(stored, prefix.dispatched, sequence + 1)
 
 
 def reset_prefix_map(prefix: PrefixMap) -> PrefixMap:
-    """Return the map of an engine that has lost its cache."""
+    """Return the map of an engine whose cache was lost."""
     return PrefixMap({}, {}, None, prefix.needs_resync)
 
 
