--- a/libs/bench/src/clementinebend_bench/experiments/choice.py
+++ b/libs/bench/src/clementinebend_bench/experiments/choice.py
@@ -34,7 +34,7 @@
 from clementinebend_relay.quarantine import Quarantine
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.witnesses import Witnesses
-from clementinebend_routing.sessions import PromptPart, SessionMemory
+from clementinebend_routing.sessions import PromptPart, SessionTracker
 from clementinebend_transport.client_connection import Address
 from clementinebend_transport.http_client import HttpClient
 
@@ -85,7 +85,7 @@
         name = f"endpoint-{number}"
         endpoint = Endpoint(name, SERVICE, Address("10.0.0.1", 1), "z", 64, False)
         table.states[name] = EndpointState(endpoint, 0.0)
-    sessions = SessionMemory()
+    sessions = SessionTracker()
     peers = Peers(
         "entry",
         boot,
--- a/libs/relay/src/clementinebend_relay/dispatch.py
+++ b/libs/relay/src/clementinebend_relay/dispatch.py
@@ -27,7 +27,7 @@
 from clementinebend_routing.prefill import (
     on_first_token,
 )
-from clementinebend_routing.sessions import SessionMemory
+from clementinebend_routing.sessions import SessionTracker
 from clementinebend_transport.http_client import HttpClient, OpenAnswer
 
 CONNECT_SECONDS = 0.4
@@ -71,7 +71,7 @@
         zone: str,
         endpoints: EndpointTable,
         peers: Peers,
-        sessions: SessionMemory,
+        sessions: SessionTracker,
         probes: QueueProbes,
         client: HttpClient,
         protocol: HttpProtocol,
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -37,7 +37,7 @@
 from clementinebend_relay.waiting_room import WaitingRoom
 from clementinebend_relay.witness import WitnessDesk
 from clementinebend_relay.witnesses import Witnesses
-from clementinebend_routing.sessions import SessionMemory
+from clementinebend_routing.sessions import SessionTracker
 from clementinebend_transport.client_connection import Address
 from clementinebend_transport.http_client import HttpClient
 from clementinebend_transport.http_connection import DRAIN_GRACE_SECONDS
@@ -96,7 +96,7 @@
         self.budgets = Budgets(
             boot, logs.marks, self.witnesses, self.entries.has_successor, clock
         )
-        sessions = SessionMemory()
+        sessions = SessionTracker()
         self.peers = Peers(
             settings.name,
             boot,
--- a/libs/relay/src/clementinebend_relay/survey.py
+++ b/libs/relay/src/clementinebend_relay/survey.py
@@ -20,7 +20,7 @@
     median_pace,
     slowness,
 )
-from clementinebend_routing.sessions import SessionMemory, best_source
+from clementinebend_routing.sessions import SessionTracker, best_source
 
 CONNECTION_SHARE = 0.9
 """Part of an endpoint's connections that the entries use together."""
@@ -94,7 +94,7 @@
         self,
         zone: str,
         endpoints: EndpointTable,
-        sessions: SessionMemory,
+        sessions: SessionTracker,
         probes: QueueProbes,
         entry_count: Callable[[], int],
         is_suspected: Callable[[str], bool],
--- a/libs/routing/src/clementinebend_routing/sessions.py
+++ b/libs/routing/src/clementinebend_routing/sessions.py
@@ -29,7 +29,7 @@
     tokens: int
 
 
-class SessionMemory:
+class SessionTracker:
     """Which parts have come before, and which each engine has been sent."""
 
     def __init__(self) -> None:
--- a/tests/unit/relay/cold_world.py
+++ b/tests/unit/relay/cold_world.py
@@ -16,7 +16,7 @@
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.survey import Surveyor
 from clementinebend_routing.cold_start import WINDOW_SECONDS, ColdBound
-from clementinebend_routing.sessions import PromptPart, SessionMemory
+from clementinebend_routing.sessions import PromptPart, SessionTracker
 from clementinebend_transport.client_connection import Address
 from tests.unit.relay.calls import CALL, SERVICE, admitted, route
 
@@ -141,7 +141,7 @@
         self.surveyor = Surveyor(
             zone,
             self.table,
-            SessionMemory(),
+            SessionTracker(),
             self.probes,
             lambda: len(world.entries),
             lambda fingerprint: False,
--- a/tests/unit/routing/test_sessions.py
+++ b/tests/unit/routing/test_sessions.py
@@ -2,22 +2,22 @@
 
 from collections.abc import Sequence
 
-from clementinebend_routing.sessions import PromptPart, SessionMemory, best_source
+from clementinebend_routing.sessions import PromptPart, SessionTracker, best_source
 
 PARTS = (PromptPart("kind", 500), PromptPart("session", 4_900), PromptPart("own", 900))
 OTHER_SESSION = (*PARTS[:1], PromptPart("else", 4_900), PromptPart("last", 10))
 
 
-def memory(**sent: tuple[PromptPart, ...]) -> SessionMemory:
+def memory(**sent: tuple[PromptPart, ...]) -> SessionTracker:
     """Return a memory of what each endpoint was sent."""
-    made = SessionMemory()
+    made = SessionTracker()
     for endpoint, parts in sent.items():
         made.was_read(endpoint, parts)
     return made
 
 
 def source(
-    known: SessionMemory,
+    known: SessionTracker,
     endpoint: str,
     parts: Sequence[PromptPart],
     others: Sequence[str],
