--- a/libs/relay/src/clementinebend_relay/dispatch.py
+++ b/libs/relay/src/clementinebend_relay/dispatch.py
@@ -107,7 +107,7 @@
 
     def _forget(self, endpoint: Endpoint) -> None:
         """Forget the prompts and the idle connections of a boot that is gone."""
-        self.sessions.forget(endpoint.name)
+        self.sessions.remove_endpoint(endpoint.name)
         self.client.close_idle(endpoint.address)
         self.ends.on_gone(endpoint)
 
@@ -200,8 +200,8 @@
         elapsed = self.clock() - call.since
         state.pace = on_first_token(state.pace, elapsed, call.ahead + call.tokens)
         parts = admitted.call.parts
-        self.sessions.remember(parts)
-        self.sessions.was_read(state.endpoint.name, parts)
+        self.sessions.record_prompt(parts)
+        self.sessions.record_prefill(state.endpoint.name, parts)
 
     async def open(
         self,
--- a/libs/routing/src/clementinebend_routing/sessions.py
+++ b/libs/routing/src/clementinebend_routing/sessions.py
@@ -11,13 +11,13 @@
 from itertools import accumulate
 from typing import NamedTuple
 
-PARTS_REMEMBERED = 20_000
+MAX_SEEN_PARTS = 20_000
 """Prompt parts remembered to learn which come again; at most some 2 MB."""
 
 MAX_CACHED_PARTS = 4_000
 """Parts believed to be in one engine's cache."""
 
-LEAST_FETCHED = 64
+MIN_FETCH_TOKENS = 64
 """Tokens that a fetch from another engine must spare: setting up a transfer takes
 an engine about as long as reading twice as many."""
 
@@ -47,20 +47,20 @@
         last = parts[-1].name
         return last if last in self.seen else parts[max(0, len(parts) - 2)].name
 
-    def remember(self, parts: Sequence[PromptPart]) -> None:
+    def record_prompt(self, parts: Sequence[PromptPart]) -> None:
         """Note the parts of a prompt that has come."""
-        _touch(self.seen, (part.name for part in parts), PARTS_REMEMBERED)
+        _touch(self.seen, (part.name for part in parts), MAX_SEEN_PARTS)
 
     def uncached(self, endpoint: str, parts: Sequence[PromptPart]) -> int:
         """Return the tokens of a prompt that ``endpoint`` has not been sent."""
         return uncached_tokens(self.cached.get(endpoint, ()), parts)
 
-    def was_read(self, endpoint: str, parts: Sequence[PromptPart]) -> None:
+    def record_prefill(self, endpoint: str, parts: Sequence[PromptPart]) -> None:
         """Note that ``endpoint`` has read a prompt."""
         cached = self.cached.setdefault(endpoint, OrderedDict())
         _touch(cached, (part.name for part in parts), MAX_CACHED_PARTS)
 
-    def forget(self, endpoint: str) -> None:
+    def remove_endpoint(self, endpoint: str) -> None:
         """Forget the cache of an endpoint that is gone."""
         self.cached.pop(endpoint, None)
 
@@ -72,23 +72,23 @@
     keeps enough more for a transfer to be worth its setup.
     """
     kept = ((unread - tokens, name) for name, tokens in others.items())
-    gain, name = max(kept, default=(0, ""))
-    return name if gain >= LEAST_FETCHED else None
+    tokens_saved, name = max(kept, default=(0, ""))
+    return name if tokens_saved >= MIN_FETCH_TOKENS else None
 
 
 def uncached_tokens(cached: Container[str], parts: Sequence[PromptPart]) -> int:
     """Return the tokens of a prompt from its first part on that is not ``cached``."""
     lengths = [0, *accumulate(part.tokens for part in parts)]
-    hit = next(
-        (place for place, part in enumerate(parts) if part.name not in cached),
+    cached_count = next(
+        (index for index, part in enumerate(parts) if part.name not in cached),
         len(parts),
     )
-    return lengths[-1] - lengths[hit]
+    return lengths[-1] - lengths[cached_count]
 
 
-def _touch(memory: OrderedDict[str, None], names: Iterable[str], limit: int) -> None:
+def _touch(lru: OrderedDict[str, None], names: Iterable[str], limit: int) -> None:
     for name in names:
-        memory[name] = None
-        memory.move_to_end(name)
-    while len(memory) > limit:
-        memory.popitem(last=False)
+        lru[name] = None
+        lru.move_to_end(name)
+    while len(lru) > limit:
+        lru.popitem(last=False)
--- a/tests/unit/routing/test_sessions.py
+++ b/tests/unit/routing/test_sessions.py
@@ -12,7 +12,7 @@
     """Return a memory of what each endpoint was sent."""
     made = SessionTracker()
     for endpoint, parts in sent.items():
-        made.was_read(endpoint, parts)
+        made.record_prefill(endpoint, parts)
     return made
 
 
