--- a/libs/relay/src/clementinebend_relay/endpoint_state.py
+++ b/libs/relay/src/clementinebend_relay/endpoint_state.py
@@ -12,7 +12,7 @@
     SILENT_SECONDS,
     STREAM_SILENT_SECONDS,
     Doubt,
-    is_over,
+    is_retry_due,
     on_heard,
     on_silence,
     on_tried,
@@ -133,7 +133,7 @@
         if self.is_silent(now):
             self.note_silence(now)
             return True
-        return not is_over(self.doubt, self.announced_at, now)
+        return not is_retry_due(self.doubt, self.announced_at, now)
 
     def on_heard(self, now: float) -> None:
         """Take note that bytes of an answer have come."""
--- a/libs/routing/src/clementinebend_routing/silence.py
+++ b/libs/routing/src/clementinebend_routing/silence.py
@@ -17,11 +17,11 @@
 """The same if it owes the next token of a stream, which long prompts delay by some
 60 ms each."""
 
-ANNOUNCED_LATE = 1.0
+ANNOUNCEMENT_LAG_SECONDS = 1.0
 """How late an endpoint's announcement may be read: one that is read sooner after the
 doubt began was perhaps made before it."""
 
-FIRST_DOUBT, LONGEST_DOUBT = 4.0, 30.0
+FIRST_DOUBT_SECONDS, MAX_DOUBT_SECONDS = 4.0, 30.0
 """Seconds after which an endpoint that has announced nothing is tried again, as the
 store may be away; doubled with each doubt in a row, up to the longest."""
 
@@ -48,18 +48,18 @@
     return Doubt()
 
 
-def is_over(doubt: Doubt, announced_at: float, now: float) -> bool:
+def is_retry_due(doubt: Doubt, announced_at: float, now: float) -> bool:
     """Tell whether an endpoint may be tried again, though nothing was heard of it.
 
     ``announced_at`` is when its newest announcement was read.
     """
     if doubt.since is None:
         return True
-    waits: int = 2 ** (doubt.in_a_row - 1)
-    if announced_at > doubt.since + ANNOUNCED_LATE * waits:
+    factor: int = 2 ** (doubt.in_a_row - 1)
+    if announced_at > doubt.since + ANNOUNCEMENT_LAG_SECONDS * factor:
         return True
-    longest: float = min(LONGEST_DOUBT, FIRST_DOUBT * waits)
-    return now - doubt.since > longest
+    limit: float = min(MAX_DOUBT_SECONDS, FIRST_DOUBT_SECONDS * factor)
+    return now - doubt.since > limit
 
 
 def on_tried(doubt: Doubt) -> Doubt:
--- a/tests/unit/relay/test_endpoints.py
+++ b/tests/unit/relay/test_endpoints.py
@@ -13,7 +13,7 @@
 from clementinebend_relay.endpoints import ALL_LEAVE_PAUSE, EndpointTable
 from clementinebend_relay.interfaces import Unusable
 from clementinebend_relay.models import Configuration, Endpoint
-from clementinebend_routing.silence import ANNOUNCED_LATE, SILENT_SECONDS
+from clementinebend_routing.silence import ANNOUNCEMENT_LAG_SECONDS, SILENT_SECONDS
 from clementinebend_transport.client_connection import Address
 
 FAILURES = 4
@@ -141,7 +141,7 @@
     assert state.is_doubted(now[0])
     put(table, "a", b"1")
     assert state.is_doubted(now[0] + 0.1)
-    now[0] += 2 * ANNOUNCED_LATE
+    now[0] += 2 * ANNOUNCEMENT_LAG_SECONDS
     put(table, "a", b"1")
     assert not state.is_doubted(now[0])
 
--- a/tests/unit/routing/test_silence.py
+++ b/tests/unit/routing/test_silence.py
@@ -1,11 +1,11 @@
 """Doubt about endpoints that are silent, and how it ends."""
 
 from clementinebend_routing.silence import (
-    ANNOUNCED_LATE,
-    FIRST_DOUBT,
-    LONGEST_DOUBT,
+    ANNOUNCEMENT_LAG_SECONDS,
+    FIRST_DOUBT_SECONDS,
+    MAX_DOUBT_SECONDS,
     Doubt,
-    is_over,
+    is_retry_due,
     on_heard,
     on_silence,
     on_tried,
@@ -14,18 +14,18 @@
 
 def test_doubt_outlasts_the_calls_that_were_given_up() -> None:
     doubt = on_silence(Doubt(), 10.0)
-    assert not is_over(doubt, 9.0, 10.0 + FIRST_DOUBT / 2)
+    assert not is_retry_due(doubt, 9.0, 10.0 + FIRST_DOUBT_SECONDS / 2)
 
 
 def test_an_announcement_made_after_the_doubt_began_ends_it() -> None:
     doubt = on_silence(Doubt(), 10.0)
-    assert not is_over(doubt, 10.0 + ANNOUNCED_LATE / 2, 11.5)
-    assert is_over(doubt, 10.1 + ANNOUNCED_LATE, 11.5)
+    assert not is_retry_due(doubt, 10.0 + ANNOUNCEMENT_LAG_SECONDS / 2, 11.5)
+    assert is_retry_due(doubt, 10.1 + ANNOUNCEMENT_LAG_SECONDS, 11.5)
 
 
 def test_an_endpoint_is_tried_again_though_nothing_announces_it() -> None:
     doubt = on_silence(Doubt(), 10.0)
-    assert is_over(doubt, 9.0, 10.1 + FIRST_DOUBT)
+    assert is_retry_due(doubt, 9.0, 10.1 + FIRST_DOUBT_SECONDS)
 
 
 def test_doubts_in_a_row_last_longer_up_to_a_bound() -> None:
@@ -33,8 +33,8 @@
     for _ in range(10):
         doubt = on_tried(on_silence(doubt, 10.0))
     doubt = on_silence(doubt, 10.0)
-    assert not is_over(doubt, 9.0, 10.0 + LONGEST_DOUBT - 0.1)
-    assert is_over(doubt, 9.0, 10.1 + LONGEST_DOUBT)
+    assert not is_retry_due(doubt, 9.0, 10.0 + MAX_DOUBT_SECONDS - 0.1)
+    assert is_retry_due(doubt, 9.0, 10.1 + MAX_DOUBT_SECONDS)
 
 
 def test_an_endpoint_that_is_heard_is_trusted_as_before() -> None:
