--- a/libs/routing/src/clementinebend_routing/silence.py
+++ b/libs/routing/src/clementinebend_routing/silence.py
@@ -1,35 +1,37 @@
-"""Doubt about endpoints that owe answers and send nothing. Pure.
+"""Detection of endpoints that owe a response but send no data. Pure functions.
 
-Load pattern: a part of the pool goes dark, without a reset. Calls that are given up
-there leave nothing owed, so that a dark endpoint soon looks idle and draws the next
-ones. Doubt therefore lasts until the endpoint shows that it lives.
+Load pattern: a part of the pool becomes unreachable without connection resets. Once
+callers have given up, nothing is owed any more, so an unreachable endpoint soon looks
+idle and attracts the next calls. An endpoint therefore stays doubted until there is
+evidence that it is alive, or until a retry is due.
 
-Times are in seconds on the steady clock.
+Times are in seconds on the monotonic clock.
 """
 
 from typing import NamedTuple
 
 SILENT_SECONDS = 0.6
-"""An endpoint that owes a first token and sends nothing for so long is doubted: it
-sends tokens every few milliseconds while it works, and reads 40,000 in that time."""
+"""An endpoint that owes a first token is doubted after this long without data. While it
+works it sends tokens every few milliseconds, and in this time it prefills 40,000
+tokens."""
 
 STREAM_SILENT_SECONDS = 0.35
-"""The same if it owes the next token of a stream, which long prompts delay by some
-60 ms each."""
+"""The same limit for an endpoint that owes the next token of a stream. Long prompts
+delay these by about 60 ms each."""
 
 ANNOUNCEMENT_LAG_SECONDS = 1.0
-"""How late an endpoint's announcement may be read: one that is read sooner after the
-doubt began was perhaps made before it."""
+"""Maximum delay until an announcement is read. One that is read sooner than this after
+the doubt began may have been made before it."""
 
 FIRST_DOUBT_SECONDS, MAX_DOUBT_SECONDS = 4.0, 30.0
-"""Seconds after which an endpoint that has announced nothing is tried again, as the
-store may be away; doubled with each doubt in a row, up to the longest."""
+"""Seconds after which an endpoint without a new announcement is retried, since the
+store may be unavailable. Doubled with each consecutive doubt up to the maximum."""
 
 
 class Doubt(NamedTuple):
-    """Doubt about an endpoint ``since`` a time; none if that is ``None``.
+    """Doubt about an endpoint; ``since`` is ``None`` if it is not doubted.
 
-    ``in_a_row`` counts doubts since the endpoint was last heard.
+    ``in_a_row`` is the number of doubts since the endpoint last sent data.
     """
 
     since: float | None = None
@@ -37,21 +39,21 @@
 
 
 def on_silence(doubt: Doubt, now: float) -> Doubt:
-    """Begin to doubt an endpoint that is not doubted yet."""
+    """Start to doubt an endpoint that is not doubted already."""
     if doubt.since is not None:
         return doubt
     return Doubt(now, doubt.in_a_row + 1)
 
 
 def on_heard(doubt: Doubt) -> Doubt:
-    """Trust an endpoint that has sent bytes of an answer."""
+    """Clear the doubt after the endpoint has sent bytes of an answer."""
     return Doubt()
 
 
 def is_retry_due(doubt: Doubt, announced_at: float, now: float) -> bool:
-    """Tell whether an endpoint may be tried again, though nothing was heard of it.
+    """Return whether an endpoint may be used although it has sent no data.
 
-    ``announced_at`` is when its newest announcement was read.
+    ``announced_at`` is the time at which its newest announcement was read.
     """
     if doubt.since is None:
         return True
@@ -63,5 +65,5 @@
 
 
 def on_tried(doubt: Doubt) -> Doubt:
-    """Let an endpoint have work again; it is doubted for longer if it stays silent."""
+    """Allow requests again; consecutive doubts last longer if it stays silent."""
     return doubt._replace(since=None)
