--- a/libs/membership/src/clementinebend_membership/__init__.py
+++ b/libs/membership/src/clementinebend_membership/__init__.py
@@ -1,3 +1,3 @@
-"""Pure decisions on live and leaving hosts and on engine orders."""
+"""Pure functions for host liveness, host selection and engine fencing."""
 
 __version__ = "0.1.0"
