--- a/libs/membership/src/clementinebend_membership/fencing.py
+++ b/libs/membership/src/clementinebend_membership/fencing.py
@@ -12,11 +12,11 @@
 from clementinebend_records.identifiers import Incarnation, digest_of
 from clementinebend_records.records import Batch, Checkpoint, FencingClaim
 
-WRITERS_KEPT = 16_384
+MAX_WRITERS = 16_384
 """Writers whose last sequence is remembered: the ones that wrote last."""
 
 
-class Standing(NamedTuple):
+class CurrentClaim(NamedTuple):
     """The newest claim of an endpoint."""
 
     number: int
@@ -33,7 +33,7 @@
 class FencingState(NamedTuple):
     """Claims that stand, by endpoint, as of ``offset``."""
 
-    standing: dict[str, Standing]
+    current_claim: dict[str, CurrentClaim]
     writers: dict[str, LastBatch]
     offset: int
 
@@ -49,7 +49,7 @@
 class FencingContent(NamedTuple):
     """The state as a checkpoint holds it, in sorted order."""
 
-    standing: tuple[tuple[str, Standing], ...]
+    current_claim: tuple[tuple[str, CurrentClaim], ...]
     writers: tuple[tuple[str, LastBatch], ...]
     offset: int
 
@@ -68,21 +68,21 @@
     if last is not None and batch.sequence <= last.sequence:
         return state, ()
     state.writers[batch.writer] = LastBatch(batch.sequence, offset)
-    _forget_oldest(state.writers)
+    _evict_oldest(state.writers)
     claims = tuple(
         Claimed(record.endpoint, record.sidecar, offset)
         for record in batch.records
         if isinstance(record, FencingClaim)
     )
     for claim in claims:
-        state.standing[claim.endpoint] = Standing(offset, claim.sidecar)
+        state.current_claim[claim.endpoint] = CurrentClaim(offset, claim.sidecar)
     return state, claims
 
 
 def fencing_number(state: FencingState, endpoint: str) -> int | None:
     """Return the newest fencing number of an endpoint, None without a claim."""
-    standing = state.standing.get(endpoint)
-    return None if standing is None else standing.number
+    current_claim = state.current_claim.get(endpoint)
+    return None if current_claim is None else current_claim.number
 
 
 def may_order(state: FencingState, endpoint: str, sidecar: Incarnation) -> bool:
@@ -95,14 +95,14 @@
     binder, so a replacement in the same slot cannot act until its predecessor,
     paused or not, is gone.
     """
-    standing = state.standing.get(endpoint)
-    return standing is not None and standing.sidecar == sidecar
+    current_claim = state.current_claim.get(endpoint)
+    return current_claim is not None and current_claim.sidecar == sidecar
 
 
 def fencing_checkpoint(state: FencingState, stream: str) -> Checkpoint:
     """Return a checkpoint of the state."""
     content = FencingContent(
-        tuple(sorted(state.standing.items())),
+        tuple(sorted(state.current_claim.items())),
         tuple(sorted(state.writers.items())),
         state.offset,
     )
@@ -113,11 +113,13 @@
 def restore_fencing(checkpoint: Checkpoint) -> FencingState:
     """Return the state that a checkpoint holds."""
     content = decode(checkpoint.state, type=FencingContent)
-    return FencingState(dict(content.standing), dict(content.writers), content.offset)
+    return FencingState(
+        dict(content.current_claim), dict(content.writers), content.offset
+    )
 
 
-def _forget_oldest(writers: dict[str, LastBatch]) -> None:
-    if len(writers) <= WRITERS_KEPT:
+def _evict_oldest(writers: dict[str, LastBatch]) -> None:
+    if len(writers) <= MAX_WRITERS:
         return
     offsets = ((last.offset, writer) for writer, last in writers.items())
     _, oldest = min(offsets, key=itemgetter(0))
