--- a/libs/membership/src/clementinebend_membership/fencing.py
+++ b/libs/membership/src/clementinebend_membership/fencing.py
@@ -1,7 +1,8 @@
-"""Which sidecar incarnation may order an engine: replay of fencing claims.
+"""Which sidecar incarnation may order an engine, by replay of fencing claims.
 
-The newest claimant of an endpoint may order it; the offset of its claim is
-its fencing number. An engine that checks numbers refuses an older claimant.
+The newest claimant of an endpoint may order its engine. The log offset of the claim is
+its fencing number (fencing token). An engine that checks fencing numbers refuses an
+older claimant.
 """
 
 from operator import itemgetter
@@ -13,11 +14,12 @@
 from clementinebend_records.records import Batch, Checkpoint, FencingClaim
 
 MAX_WRITERS = 16_384
-"""Writers whose last sequence is remembered: the ones that wrote last."""
+"""Maximum number of writers whose last sequence number is kept, the most recent ones.
+"""
 
 
 class CurrentClaim(NamedTuple):
-    """The newest claim of an endpoint."""
+    """The newest claim to an endpoint and its fencing number."""
 
     number: int
     sidecar: Incarnation
@@ -31,7 +33,7 @@
 
 
 class FencingState(NamedTuple):
-    """Claims that stand, by endpoint, as of ``offset``."""
+    """The current claim to each endpoint, as of ``offset``."""
 
     current_claim: dict[str, CurrentClaim]
     writers: dict[str, LastBatch]
@@ -39,7 +41,7 @@
 
 
 class Claimed(NamedTuple):
-    """A sidecar took the right to order an endpoint."""
+    """Event: a sidecar acquired the right to order an endpoint's engine."""
 
     endpoint: str
     sidecar: Incarnation
@@ -47,7 +49,7 @@
 
 
 class FencingContent(NamedTuple):
-    """The state as a checkpoint holds it, in sorted order."""
+    """The state as stored in a checkpoint, in sorted order."""
 
     current_claim: tuple[tuple[str, CurrentClaim], ...]
     writers: tuple[tuple[str, LastBatch], ...]
@@ -62,7 +64,7 @@
 def replay_fencing(
     state: FencingState, offset: int, batch: Batch
 ) -> tuple[FencingState, tuple[Claimed, ...]]:
-    """Apply a batch; a repeat of one applied before takes nothing."""
+    """Apply a batch; a batch that was applied before is ignored."""
     state = state._replace(offset=offset)
     last = state.writers.get(batch.writer)
     if last is not None and batch.sequence <= last.sequence:
@@ -80,20 +82,19 @@
 
 
 def fencing_number(state: FencingState, endpoint: str) -> int | None:
-    """Return the newest fencing number of an endpoint, None without a claim."""
+    """Return the current fencing number of an endpoint, None without a claim."""
     current_claim = state.current_claim.get(endpoint)
     return None if current_claim is None else current_claim.number
 
 
 def may_order(state: FencingState, endpoint: str, sidecar: Incarnation) -> bool:
-    """Tell whether ``sidecar`` is the newest claimant of ``endpoint``.
-
-    This alone does not stop an older claimant that has not read the newer
-    claim. An engine that checks fencing numbers refuses that one's orders. An
-    engine that ignores them is protected by a port that each sidecar binds for
-    its lifetime on the endpoint's own host: the kernel refuses a second
-    binder, so a replacement in the same slot cannot act until its predecessor,
-    paused or not, is gone.
+    """Return whether ``sidecar`` is the newest claimant of ``endpoint``.
+
+    This alone does not stop an older claimant that has not read the newer claim. An
+    engine that checks fencing numbers refuses the orders of such a claimant. An engine
+    that ignores them is protected by a port that each sidecar binds on the endpoint's
+    host for its lifetime. The kernel refuses a second bind, so a replacement in the
+    same slot cannot act until its predecessor, paused or not, has exited.
     """
     current_claim = state.current_claim.get(endpoint)
     return current_claim is not None and current_claim.sidecar == sidecar
@@ -111,7 +112,7 @@
 
 
 def restore_fencing(checkpoint: Checkpoint) -> FencingState:
-    """Return the state that a checkpoint holds."""
+    """Return the state stored in a checkpoint."""
     content = decode(checkpoint.state, type=FencingContent)
     return FencingState(
         dict(content.current_claim), dict(content.writers), content.offset
