--- a/libs/membership/src/clementinebend_membership/rendezvous.py
+++ b/libs/membership/src/clementinebend_membership/rendezvous.py
@@ -1,8 +1,8 @@
-"""Choice of hosts for a key that all processes make alike.
+"""Rendezvous hashing: all processes select the same hosts for a key.
 
-Highest random weight hashing: adding or removing a name moves only the keys
-of that name. Source: Thaler and Ravishankar, "Using name-based mappings to
-increase hit rates" (1998).
+With this method (highest random weight), adding or removing a name moves only the keys
+of that name. Source: Thaler and Ravishankar, "Using name-based mappings to increase hit
+rates" (1998).
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -24,10 +24,11 @@
 def weighted_rendezvous(
     key: str, weights: Mapping[str, float], count: int
 ) -> tuple[str, ...]:
-    """Return the first ``count`` names for ``key``, each as often as its weight.
+    """Return the first ``count`` names for ``key``, best first, by weight.
 
-    Weights are above 0. Source: Schindelhauer and Schomaker, "Weighted distributed
-    hash tables" (2005), the logarithmic method.
+    A name comes first with a probability proportional to its weight. Weights must be
+    above 0. Source: Schindelhauer and Schomaker, "Weighted distributed hash tables"
+    (2005), the logarithmic method.
     """
     ranked = nsmallest(
         count, ((_distance(key, name) / weights[name], name) for name in weights)
@@ -47,10 +48,10 @@
 
 
 def subset(name: str, candidates: Sequence[str], size: int) -> tuple[str, ...]:
-    """Return the ``size`` back ends that the client ``name`` uses, best first.
+    """Return the ``size`` back ends used by the client ``name``, best first.
 
-    Each back end is used by ``clients * size / len(candidates)`` clients on
-    average. A candidate that comes or goes changes at most one of the subset.
+    Each back end is used by ``clients * size / len(candidates)`` clients on average.
+    Adding or removing one candidate changes at most one member of the subset.
     """
     return rendezvous(name, candidates, size)
 
@@ -62,6 +63,6 @@
 
 
 def _distance(key: str, name: str) -> float:
-    """Return a number from an exponential distribution."""
+    """Return a value distributed exponentially, derived from the hash."""
     drawn = int.from_bytes(_weight(key, name))
     return -log((drawn + 1) / (2 ** (8 * WEIGHT_BYTES) + 1))
