--- a/libs/membership/src/clementinebend_membership/suspicion.py
+++ b/libs/membership/src/clementinebend_membership/suspicion.py
@@ -9,35 +9,35 @@
 
 from typing import NamedTuple
 
-ANSWER_SECONDS = 0.03
+ANSWER_TIMEOUT = 0.03
 """How long an answer may take. Within a region it takes some 2 ms; more questions
 within this time count as one, as they are lost or held up together."""
 
-MOST_UNANSWERED = 3
+MAX_UNANSWERED = 3
 """Questions in a row without an answer after which a process is taken for gone: where
 three datagrams in a hundred are lost, this happens once in some 5,000 to one that
 lives."""
 
 
-class Unanswered(NamedTuple):
+class UnansweredRequests(NamedTuple):
     """Questions that a process has left open in a row, and when the last was asked."""
 
     in_a_row: int = 0
     asked_at: float = float("-inf")
 
 
-class Suspicions:
+class FailureDetector:
     """The processes that owe answers, by the name of their boot."""
 
     def __init__(self) -> None:
-        self.unanswered: dict[str, Unanswered] = {}
+        self.unanswered: dict[str, UnansweredRequests] = {}
 
     def on_asked(self, boot: str, now: float) -> None:
         """Note that a process is asked something that it must answer."""
-        known = self.unanswered.get(boot, Unanswered())
-        if now - known.asked_at >= ANSWER_SECONDS:
-            in_a_row = min(known.in_a_row + 1, MOST_UNANSWERED)
-            self.unanswered[boot] = Unanswered(in_a_row, now)
+        known = self.unanswered.get(boot, UnansweredRequests())
+        if now - known.asked_at >= ANSWER_TIMEOUT:
+            in_a_row = min(known.in_a_row + 1, MAX_UNANSWERED)
+            self.unanswered[boot] = UnansweredRequests(in_a_row, now)
 
     def on_heard(self, boot: str) -> None:
         """Note that a process has sent something."""
@@ -46,11 +46,11 @@
     def is_suspected(self, boot: str, now: float) -> bool:
         """Tell whether a process has left too many questions in a row open."""
         known = self.unanswered.get(boot)
-        if known is None or known.in_a_row < MOST_UNANSWERED:
+        if known is None or known.in_a_row < MAX_UNANSWERED:
             return False
-        return now - known.asked_at >= ANSWER_SECONDS
+        return now - known.asked_at >= ANSWER_TIMEOUT
 
-    def keep(self, boots: frozenset[str]) -> None:
+    def retain_only(self, boots: frozenset[str]) -> None:
         """Forget all processes but ``boots``."""
         for boot in self.unanswered.keys() - boots:
             del self.unanswered[boot]
--- a/libs/relay/src/clementinebend_relay/homes.py
+++ b/libs/relay/src/clementinebend_relay/homes.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from clementinebend_membership.rendezvous import weighted_rendezvous
-from clementinebend_membership.suspicion import ANSWER_SECONDS, Suspicions
+from clementinebend_membership.suspicion import ANSWER_TIMEOUT, FailureDetector
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.decisions import log_decision
 
@@ -58,7 +58,7 @@
         self.parts = parts
         self.directory = directory
         self.clock = clock
-        self.suspicions = Suspicions()
+        self.suspicions = FailureDetector()
         self.leaving: set[str] = set()
         self.is_leaving = False
         self.orders: dict[int, tuple[str, ...]] = {}
@@ -112,7 +112,7 @@
             return []
         now = self.clock()
         self.watches_until[part] = now + ASKED_SECONDS
-        if now - self.asked_at.get(part, 0.0) < ANSWER_SECONDS:
+        if now - self.asked_at.get(part, 0.0) < ANSWER_TIMEOUT:
             return []
         self.asked_at[part] = now
         return self._announced(self._watched(part))
@@ -174,7 +174,7 @@
             self.orders.clear()
             self.homes.clear()
             boots = frozenset(item.boot for item in directory.announcements.values())
-            self.suspicions.keep(boots)
+            self.suspicions.retain_only(boots)
             self.leaving &= boots
         if part not in self.orders:
             announced = directory.announcements
--- a/libs/relay/src/clementinebend_relay/queue_probes.py
+++ b/libs/relay/src/clementinebend_relay/queue_probes.py
@@ -6,7 +6,7 @@
 from itertools import count
 
 from clementinebend_membership.rendezvous import rendezvous
-from clementinebend_membership.suspicion import Suspicions
+from clementinebend_membership.suspicion import FailureDetector
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.messages import (
@@ -57,7 +57,7 @@
         self.clock = clock
         self.numbers = count(1)
         self.open: dict[int, tuple[Endpoint, Future[QueueReport]]] = {}
-        self.suspicions = Suspicions()
+        self.suspicions = FailureDetector()
         self.tried_at: dict[str, float] = {}
         self.silent: set[str] = set()
         self.keepers: dict[Endpoint, Announcement | None] = {}
@@ -191,7 +191,7 @@
     def _forget_ended(self) -> None:
         known = (self.gateways.announcements, self.entries.announcements)
         boots = frozenset(item.boot for each in known for item in each.values())
-        self.suspicions.keep(boots)
+        self.suspicions.retain_only(boots)
         self.silent &= boots
         self.tried_at = {
             boot: at for boot, at in self.tried_at.items() if boot in boots
--- a/tests/unit/membership/test_suspicion.py
+++ b/tests/unit/membership/test_suspicion.py
@@ -1,17 +1,17 @@
 """When a process is taken for gone by what it leaves unanswered."""
 
 from clementinebend_membership.suspicion import (
-    ANSWER_SECONDS,
-    MOST_UNANSWERED,
-    Suspicions,
+    ANSWER_TIMEOUT,
+    MAX_UNANSWERED,
+    FailureDetector,
 )
 
-STEP = 1.5 * ANSWER_SECONDS
+STEP = 1.5 * ANSWER_TIMEOUT
 
 
-def asked(times: int, step: float = STEP) -> tuple[Suspicions, float]:
+def asked(times: int, step: float = STEP) -> tuple[FailureDetector, float]:
     """Return what is thought of a process that was asked some times in a row."""
-    suspicions, now = Suspicions(), 100.0
+    suspicions, now = FailureDetector(), 100.0
     for _ in range(times):
         suspicions.on_asked("b", now)
         now += step
@@ -19,14 +19,14 @@
 
 
 def test_a_process_is_suspected_after_some_questions_and_time_to_answer() -> None:
-    suspicions, now = asked(MOST_UNANSWERED)
+    suspicions, now = asked(MAX_UNANSWERED)
     assert suspicions.is_suspected("b", now)
     assert not suspicions.is_suspected("b", now - STEP)
     assert not suspicions.is_suspected("other", now)
 
 
 def test_fewer_questions_leave_no_suspicion_however_long_ago() -> None:
-    suspicions, now = asked(MOST_UNANSWERED - 1)
+    suspicions, now = asked(MAX_UNANSWERED - 1)
     assert not suspicions.is_suspected("b", now + 60)
 
 
@@ -36,12 +36,12 @@
 
 
 def test_any_word_ends_the_suspicion() -> None:
-    suspicions, now = asked(MOST_UNANSWERED)
+    suspicions, now = asked(MAX_UNANSWERED)
     suspicions.on_heard("b")
     assert not suspicions.is_suspected("b", now)
 
 
 def test_boots_that_ended_are_forgotten() -> None:
-    suspicions, _ = asked(MOST_UNANSWERED)
-    suspicions.keep(frozenset({"other"}))
+    suspicions, _ = asked(MAX_UNANSWERED)
+    suspicions.retain_only(frozenset({"other"}))
     assert not suspicions.unanswered
--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -7,7 +7,7 @@
 
 from clementinebend_ledger.mark_gifts import Wish
 from clementinebend_ledger.mark_transfers import Transfer
-from clementinebend_membership.suspicion import ANSWER_SECONDS, MOST_UNANSWERED
+from clementinebend_membership.suspicion import ANSWER_TIMEOUT, MAX_UNANSWERED
 from clementinebend_records.identifiers import new_incarnation
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.budgets import Budgets
@@ -112,9 +112,9 @@
     order = probe.homes._order(0)
     outside = next(n for n in range(40) if f"entry-{n}" not in order)
     peers, _ = made_peers(clock, outside, 40)
-    for _ in range(MOST_UNANSWERED):
+    for _ in range(MAX_UNANSWERED):
         peers.ask(order[0], TEAM, Wish(5))
-        clock.now += 1.5 * ANSWER_SECONDS
+        clock.now += 1.5 * ANSWER_TIMEOUT
     clock.now += 0.1
     assert peers.home_of(0) == order[1]
     no_home = GiftMessage(
--- a/tests/unit/relay/test_queue_probes.py
+++ b/tests/unit/relay/test_queue_probes.py
@@ -6,7 +6,7 @@
 import pytest
 
 from clementinebend_bench.models.virtual_loop import run_virtually
-from clementinebend_membership.suspicion import MOST_UNANSWERED
+from clementinebend_membership.suspicion import MAX_UNANSWERED
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.messages import Message, QueueMessage, ReportMessage
 from clementinebend_relay.models import Endpoint
@@ -116,7 +116,7 @@
     async def main() -> None:
         world = World(2)
         world.dark = {world.host(0)}
-        for _ in range(MOST_UNANSWERED):
+        for _ in range(MAX_UNANSWERED):
             started = world.clock()
             reports = await world.probes.ask([endpoint(0), endpoint(1)], 1, PARTS)
             assert set(reports) == {"e1"}
@@ -137,7 +137,7 @@
     async def main() -> None:
         world = World(1)
         world.desks[world.host(0)] = QueueDesk("gateway-0#2", world.answer, world.clock)
-        for _ in range(2 * MOST_UNANSWERED):
+        for _ in range(2 * MAX_UNANSWERED):
             assert "e0" in await world.probes.ask([endpoint(0)], 1, ())
             await sleep(0.05)
         assert world.probes.is_known(endpoint(0))
