--- a/libs/entry/src/clementinebend_entry/reach.py
+++ b/libs/entry/src/clementinebend_entry/reach.py
@@ -10,7 +10,7 @@
     Evidence,
     ListedHost,
     empty_view,
-    on_direct,
+    on_direct_evidence,
     on_host_list,
     suspects,
 )
@@ -39,12 +39,16 @@
 
     def on_up(self, name: str, incarnation: Incarnation, now: float) -> None:
         """Take in that an entry can be reached."""
-        self.view = on_direct(self.view, name, incarnation, Evidence.REACHABLE, now)
+        self.view = on_direct_evidence(
+            self.view, name, incarnation, Evidence.REACHABLE, now
+        )
         self.closes.pop(name, None)
 
     def on_down(self, name: str, incarnation: Incarnation, now: float) -> None:
         """Take in that an entry cannot be reached any more."""
-        self.view = on_direct(self.view, name, incarnation, Evidence.UNREACHABLE, now)
+        self.view = on_direct_evidence(
+            self.view, name, incarnation, Evidence.UNREACHABLE, now
+        )
 
     def on_hosts(self, hosts: Iterable[ListedHost], now: float) -> None:
         """Take in the platform's list of hosts."""
--- a/libs/membership/src/clementinebend_membership/view.py
+++ b/libs/membership/src/clementinebend_membership/view.py
@@ -104,13 +104,13 @@
     for name in {*view.hosts, *listed}:
         known = view.hosts.get(name, UNKNOWN)
         view.hosts[name] = _with_entry(known, listed.get(name), now)
-    forgotten = [name for name, host in view.hosts.items() if _is_over(host, now)]
+    forgotten = [name for name, host in view.hosts.items() if _is_expired(host, now)]
     for name in forgotten:
         del view.hosts[name]
     return view
 
 
-def on_direct(
+def on_direct_evidence(
     view: View, name: str, incarnation: Incarnation, evidence: Evidence, now: float
 ) -> View:
     """Take in what this process saw of a host.
@@ -122,11 +122,11 @@
     if is_new and known.incarnation and evidence is Evidence.UNREACHABLE:
         return view
     base = known._replace(evidence=None, left=False) if is_new else known
-    began = now if evidence is not base.evidence else base.evidence_since
+    observed_since = now if evidence is not base.evidence else base.evidence_since
     view.hosts[name] = base._replace(
         incarnation=incarnation,
         evidence=evidence,
-        evidence_since=began,
+        evidence_since=observed_since,
         seen_at=now,
         left=base.left or evidence is Evidence.LEAVING,
     )
@@ -171,7 +171,7 @@
     return now - host.evidence_since >= limit
 
 
-def _is_over(host: HostView, now: float) -> bool:
+def _is_expired(host: HostView, now: float) -> bool:
     if host.listed is not None:
         return False
     return host.evidence is None or now - host.seen_at >= FORGET_SECONDS
--- a/tests/unit/membership/test_view.py
+++ b/tests/unit/membership/test_view.py
@@ -12,7 +12,7 @@
     HostEntry,
     View,
     empty_view,
-    on_direct,
+    on_direct_evidence,
     on_host_list,
     suspects,
     usable,
@@ -39,23 +39,23 @@
 
 def test_direct_evidence_newer_than_the_list_beats_it() -> None:
     view = on_host_list(listed_live(), LEAVING, 1.0)
-    view = on_direct(view, "e", FIRST, Evidence.REACHABLE, 2.0)
+    view = on_direct_evidence(view, "e", FIRST, Evidence.REACHABLE, 2.0)
     view = on_host_list(view, LEAVING, 3.0)
     assert usable(view, "e", 3.0)
-    view = on_direct(view, "e", FIRST, Evidence.UNREACHABLE, 4.0)
+    view = on_direct_evidence(view, "e", FIRST, Evidence.UNREACHABLE, 4.0)
     view = on_host_list(view, LIVE, 5.0)
     assert not usable(view, "e", 5.0)
     assert usable(view, "e", 4.0 + EVIDENCE_SECONDS)
 
 
 def test_a_change_in_the_list_beats_older_evidence() -> None:
-    view = on_direct(listed_live(), "e", FIRST, Evidence.REACHABLE, 1.0)
+    view = on_direct_evidence(listed_live(), "e", FIRST, Evidence.REACHABLE, 1.0)
     view = on_host_list(view, LEAVING, 2.0)
     assert not usable(view, "e", 2.0)
 
 
 def test_a_host_seen_but_not_listed_yet_is_usable() -> None:
-    view = on_direct(empty_view(), "e", FIRST, Evidence.REACHABLE, 1.0)
+    view = on_direct_evidence(empty_view(), "e", FIRST, Evidence.REACHABLE, 1.0)
     view = on_host_list(view, ABSENT, 2.0)
     assert usable(view, "e", 2.0)
 
@@ -78,41 +78,41 @@
     for index, (entries, evidence) in enumerate(steps):
         now += 1.0
         if entries is None:
-            view = on_direct(view, "e", FIRST, evidence, now)
+            view = on_direct_evidence(view, "e", FIRST, evidence, now)
         else:
             view = on_host_list(view, entries, now)
         assert index < len(before) or not usable(view, "e", now)
     if returns:
-        view = on_direct(view, "e", SECOND, Evidence.REACHABLE, now + 1.0)
+        view = on_direct_evidence(view, "e", SECOND, Evidence.REACHABLE, now + 1.0)
         assert usable(view, "e", now + 1.0)
 
 
 def test_a_new_incarnation_ignores_news_of_the_old_one() -> None:
-    view = on_direct(listed_live(), "e", SECOND, Evidence.REACHABLE, 1.0)
-    view = on_direct(view, "e", FIRST, Evidence.UNREACHABLE, 2.0)
+    view = on_direct_evidence(listed_live(), "e", SECOND, Evidence.REACHABLE, 1.0)
+    view = on_direct_evidence(view, "e", FIRST, Evidence.UNREACHABLE, 2.0)
     assert usable(view, "e", 2.0)
 
 
 def test_an_absent_host_is_suspect_soon_and_a_listed_one_late() -> None:
-    view = on_direct(listed_live(), "e", FIRST, Evidence.UNREACHABLE, 1.0)
-    view = on_direct(view, "e", FIRST, Evidence.UNREACHABLE, 20.0)
+    view = on_direct_evidence(listed_live(), "e", FIRST, Evidence.UNREACHABLE, 1.0)
+    view = on_direct_evidence(view, "e", FIRST, Evidence.UNREACHABLE, 20.0)
     assert suspects(view, 1.0 + ABSENT_SUSPECT_SECONDS) == ()
     assert suspects(view, 1.0 + LISTED_SUSPECT_SECONDS) == ("e",)
     absent = on_host_list(view, ABSENT, 2.0)
     assert suspects(absent, 1.0 + ABSENT_SUSPECT_SECONDS) == ("e",)
-    back = on_direct(absent, "e", FIRST, Evidence.REACHABLE, 30.0)
+    back = on_direct_evidence(absent, "e", FIRST, Evidence.REACHABLE, 30.0)
     assert suspects(back, 1000.0) == ()
 
 
 def test_absence_from_the_list_alone_makes_nobody_suspect() -> None:
     view = on_host_list(listed_live(), ABSENT, 1.0)
     assert suspects(view, 1000.0) == ()
-    seen = on_direct(view, "e", FIRST, Evidence.REACHABLE, 2.0)
+    seen = on_direct_evidence(view, "e", FIRST, Evidence.REACHABLE, 2.0)
     assert suspects(on_host_list(seen, ABSENT, 3.0), 1000.0) == ()
 
 
 def test_a_host_gone_for_long_is_forgotten() -> None:
-    view = on_direct(listed_live(), "e", FIRST, Evidence.UNREACHABLE, 1.0)
+    view = on_direct_evidence(listed_live(), "e", FIRST, Evidence.UNREACHABLE, 1.0)
     view = on_host_list(view, ABSENT, 2.0)
     assert "e" in view.hosts
     assert on_host_list(view, ABSENT, 1.0 + FORGET_SECONDS).hosts == {}
