--- a/libs/membership/src/clementinebend_membership/view.py
+++ b/libs/membership/src/clementinebend_membership/view.py
@@ -1,8 +1,9 @@
-"""Which hosts can be used: the platform's lagging list joined with own sight.
+"""Host availability from the platform's lagging host list and direct observations.
 
-The list lags, so direct evidence that is newer than a change in the list beats
-it. Times are monotonic seconds of this process. A view decides policy only: a
-host wrongly believed dead meets refusals, never a second bill.
+The list lags, so a direct observation that is newer than the last change in the list
+takes precedence. Times are monotonic seconds of this process. A view only affects where
+work is sent: a host wrongly considered dead refuses requests and never causes a second
+bill.
 """
 
 from collections.abc import Iterable
@@ -12,23 +13,23 @@
 from clementinebend_records.identifiers import Incarnation
 
 EVIDENCE_SECONDS = 15.0
-"""Direct evidence older than this counts no more; the list decides then."""
+"""Direct evidence older than this is ignored, and the list decides."""
 
 ABSENT_SUSPECT_SECONDS = 2.0
-"""A host absent from the list and out of reach this long is suspect."""
+"""A host missing from the list is suspect after being unreachable this long."""
 
 LISTED_SUSPECT_SECONDS = 30.0
-"""A host still listed is suspect only after being out of reach this long."""
+"""A host in the list is suspect only after being unreachable this long."""
 
 FORGET_SECONDS = 3600.0
-"""A host absent from the list and not seen this long is forgotten."""
+"""A host missing from the list is removed when its evidence is older than this."""
 
 LIVE = "live"
 LEAVING = "leaving"
 
 
 class Evidence(StrEnum):
-    """What this process saw of a host itself."""
+    """A direct observation of a host by this process."""
 
     REACHABLE = "reachable"
     LEAVING = "leaving"
@@ -36,27 +37,27 @@
 
 
 class ListedHost(Protocol):
-    """A host as the platform lists it; ``state`` is ``live`` or ``leaving``."""
+    """A host in the platform's list; ``state`` is ``live`` or ``leaving``."""
 
     @property
     def name(self) -> str:
-        """The host's name."""
+        """Name of the host."""
 
     @property
     def address(self) -> str:
-        """Where it can be reached, ``ip:port``."""
+        """Address of the host, as ``ip:port``."""
 
     @property
     def zone(self) -> str:
-        """Its availability zone."""
+        """Availability zone of the host."""
 
     @property
     def state(self) -> str:
-        """``live`` or ``leaving``."""
+        """State of the host, ``live`` or ``leaving``."""
 
 
 class HostEntry(NamedTuple):
-    """One host as listed."""
+    """A copy of a host's entry in the list."""
 
     name: str
     address: str
@@ -65,11 +66,12 @@
 
 
 class HostView(NamedTuple):
-    """What is known of one host.
+    """State of one host.
 
-    ``listed_since`` is when the list began to say ``listed`` (None: absent).
-    ``evidence`` was last seen at ``seen_at`` and began at ``evidence_since``;
-    ``left`` holds for the rest of ``incarnation``.
+    ``listed`` is its entry in the list (None if absent), ``listed_since`` the time of
+    the last change of its listed state. ``evidence`` was last observed at ``seen_at``
+    and first at ``evidence_since``. ``left`` means that the host was seen leaving and
+    stays set for the rest of ``incarnation``.
     """
 
     listed: HostEntry | None = None
@@ -82,7 +84,7 @@
 
 
 class View(NamedTuple):
-    """All hosts known, by name."""
+    """All known hosts, by name."""
 
     hosts: dict[str, HostView]
 
@@ -91,12 +93,12 @@
 
 
 def empty_view() -> View:
-    """Return a view of no hosts."""
+    """Return a view without hosts."""
     return View({})
 
 
 def on_host_list(view: View, hosts: Iterable[ListedHost], now: float) -> View:
-    """Take in a list just read from the platform."""
+    """Apply a host list that was just read from the platform."""
     listed = {
         host.name: HostEntry(host.name, host.address, host.zone, host.state)
         for host in hosts
@@ -113,9 +115,10 @@
 def on_direct_evidence(
     view: View, name: str, incarnation: Incarnation, evidence: Evidence, now: float
 ) -> View:
-    """Take in what this process saw of a host.
+    """Apply a direct observation of a host.
 
-    ``incarnation`` is the one that answered, or the one that no longer does.
+    ``incarnation`` is the one that answered, or the one that stopped answering.
+    ``UNREACHABLE`` for an incarnation other than the known one is ignored.
     """
     known = view.hosts.get(name, UNKNOWN)
     is_new = incarnation != known.incarnation
@@ -134,7 +137,7 @@
 
 
 def usable(view: View, name: str, now: float) -> bool:
-    """Tell whether new work may go to a host."""
+    """Return whether new work may be sent to a host."""
     host = view.hosts.get(name, UNKNOWN)
     if host.left:
         return False
@@ -146,7 +149,7 @@
 
 
 def suspects(view: View, now: float) -> tuple[str, ...]:
-    """Return the hosts that have been dead long enough to close their holders."""
+    """Return the hosts unreachable for so long that their holders may be closed."""
     return tuple(name for name, host in view.hosts.items() if _is_suspect(host, now))
 
 
