--- a/libs/routing/src/clementinebend_routing/cold_start.py
+++ b/libs/routing/src/clementinebend_routing/cold_start.py
@@ -78,14 +78,14 @@
     """
     if seconds <= 0.0 or rate <= 0.0:
         return None
-    most = max(1.0, rate * bound.overage + bound.slack)
-    warm = max(1, int(WARM_SHARE * most))
-    cold = max(1, int(COLD_SHARE * most))
+    max_rate = max(1.0, rate * bound.overage + bound.slack)
+    warm = max(1, int(WARM_SHARE * max_rate))
+    cold = max(1, int(COLD_SHARE * max_rate))
     return ColdLimit(
         seconds,
         PermitLimit(max(1, min(cold, int(rate))), cold),
         PermitLimit(warm, warm),
-        int(UNCOUNTED_SHARE * (most - cold)),
+        int(UNCOUNTED_SHARE * (max_rate - cold)),
     )
 
 
--- a/tests/unit/routing/test_cold_start.py
+++ b/tests/unit/routing/test_cold_start.py
@@ -24,25 +24,29 @@
 def test_counted_and_uncounted_calls_together_stay_within_the_bound(
     rate: float, overage: float, slack: float
 ) -> None:
-    most = max(1.0, rate * overage + slack)
+    max_rate = max(1.0, rate * overage + slack)
     limit = cold_limit(3.0, rate, ColdBound(overage, slack))
     assert limit is not None
     assert (
-        1 <= limit.cold.max_sent <= limit.cold.max_total <= limit.warm.max_total <= most
+        1
+        <= limit.cold.max_sent
+        <= limit.cold.max_total
+        <= limit.warm.max_total
+        <= max_rate
     )
     assert limit.uncounted_entries >= 0
-    assert limit.cold.max_total + limit.uncounted_entries <= most
+    assert limit.cold.max_total + limit.uncounted_entries <= max_rate
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 0.3), st.booleans()), max_size=200))
-def test_no_second_holds_more_calls_than_the_limit(
-    asked: list[tuple[float, bool]],
+def test_no_second_contains_more_calls_than_the_limit(
+    requests: list[tuple[float, bool]],
 ) -> None:
     """Permits may stay unused, but every call has one."""
     limit, now = PermitLimit(13, 18), 0.0
     recent = RecentCalls(-WINDOW_SECONDS)
     sent: list[float] = []
-    for pause, is_sent in asked:
+    for pause, is_sent in requests:
         now += pause
         if recent.request_permit(limit, now) and is_sent:
             recent.on_sent(now)
@@ -60,7 +64,7 @@
     assert recent.request_permit(PermitLimit(13, 18), 0.2)
 
 
-def test_no_permit_is_decided_on_in_the_first_second_of_a_count() -> None:
+def test_permits_are_undecided_in_the_first_second_of_a_count() -> None:
     recent, limit = RecentCalls(7.0), PermitLimit(1, 1)
     recent.on_sent(7.1)
     assert recent.request_permit(limit, 7.0 + WINDOW_SECONDS - 0.01) is None
