--- a/tests/unit/routing/test_hedging.py
+++ b/tests/unit/routing/test_hedging.py
@@ -10,7 +10,7 @@
 )
 
 
-def measured(latencies: list[float]) -> HedgingState:
+def with_latencies(latencies: list[float]) -> HedgingState:
     state = initial_hedging(ratio=0.05)
     for latency in latencies:
         state = on_look_up(state, 0.0)
@@ -19,21 +19,21 @@
 
 
 def test_hedges_after_the_95th_percentile() -> None:
-    state = measured([number / 100 for number in range(1, 101)])
+    state = with_latencies([number / 100 for number in range(1, 101)])
     assert hedge_delay(state) == 0.95
     state, early = may_hedge(state, 0.94, 0.0)
     state, late = may_hedge(state, 0.95, 0.0)
     assert (early, late) == (False, True)
 
 
-def test_does_not_hedge_before_enough_is_known() -> None:
-    state = measured([0.1] * 39)
+def test_does_not_hedge_before_the_minimum_of_samples() -> None:
+    state = with_latencies([0.1] * 39)
     assert hedge_delay(state) is None
     assert not may_hedge(state, 100.0, 0.0)[1]
 
 
 def test_hedges_stay_within_their_share_when_everything_is_slow() -> None:
-    state = measured([0.1] * 100)
+    state = with_latencies([0.1] * 100)
     hedges = 0
     for _ in range(10_000):
         state = on_look_up(state, 0.0)
