--- a/tests/unit/routing/test_sessions.py
+++ b/tests/unit/routing/test_sessions.py
@@ -8,41 +8,41 @@
 OTHER_SESSION = (*PARTS[:1], PromptPart("else", 4_900), PromptPart("last", 10))
 
 
-def memory(**sent: tuple[PromptPart, ...]) -> SessionTracker:
+def tracker_of(**sent: tuple[PromptPart, ...]) -> SessionTracker:
     """Return a memory of what each endpoint was sent."""
-    made = SessionTracker()
+    tracker = SessionTracker()
     for endpoint, parts in sent.items():
-        made.record_prefill(endpoint, parts)
-    return made
+        tracker.record_prefill(endpoint, parts)
+    return tracker
 
 
-def source(
-    known: SessionTracker,
+def fetch_source(
+    session_tracker: SessionTracker,
     endpoint: str,
     parts: Sequence[PromptPart],
     others: Sequence[str],
 ) -> str | None:
     """Return from where ``endpoint`` would fetch parts of a prompt."""
-    unread = {name: known.uncached(name, parts) for name in others}
-    return best_source(known.uncached(endpoint, parts), unread)
+    unread = {name: session_tracker.uncached(name, parts) for name in others}
+    return best_source(session_tracker.uncached(endpoint, parts), unread)
 
 
-def test_parts_are_fetched_from_the_endpoint_that_keeps_most() -> None:
-    known = memory(a=PARTS, b=OTHER_SESSION)
-    assert source(known, "c", PARTS, ["a", "b"]) == "a"
-    assert source(known, "c", OTHER_SESSION, ["a", "b"]) == "b"
+def test_parts_are_fetched_from_the_endpoint_with_most_of_them() -> None:
+    session_tracker = tracker_of(a=PARTS, b=OTHER_SESSION)
+    assert fetch_source(session_tracker, "c", PARTS, ["a", "b"]) == "a"
+    assert fetch_source(session_tracker, "c", OTHER_SESSION, ["a", "b"]) == "b"
 
 
-def test_nothing_is_fetched_that_the_endpoint_keeps_itself() -> None:
-    known = memory(a=PARTS, b=PARTS)
-    assert source(known, "a", PARTS, ["b"]) is None
+def test_parts_cached_locally_are_not_fetched() -> None:
+    session_tracker = tracker_of(a=PARTS, b=PARTS)
+    assert fetch_source(session_tracker, "a", PARTS, ["b"]) is None
 
 
-def test_nothing_is_fetched_for_a_few_tokens() -> None:
+def test_a_few_tokens_are_not_worth_a_fetch() -> None:
     small = (PromptPart("kind", 20), PromptPart("own", 900))
-    known = memory(a=small[:1])
-    assert source(known, "c", small, ["a"]) is None
+    session_tracker = tracker_of(a=small[:1])
+    assert fetch_source(session_tracker, "c", small, ["a"]) is None
 
 
-def test_nothing_is_fetched_where_no_other_endpoint_is_sound() -> None:
-    assert source(memory(a=PARTS), "c", PARTS, []) is None
+def test_nothing_is_fetched_without_another_endpoint() -> None:
+    assert fetch_source(tracker_of(a=PARTS), "c", PARTS, []) is None
