--- a/tests/unit/routing/test_stateful_choice.py
+++ b/tests/unit/routing/test_stateful_choice.py
@@ -31,7 +31,7 @@
 
 FUZZ = environ.get("CLEMENTINEBEND_FUZZ") == "1"
 NAMES = ("e0", "e1", "e2", "e3")
-MOST_EJECTED = 1
+MAX_EJECTED = 1
 BLOCKS = tuple(f"b{number}" for number in range(6))
 
 names = st.sampled_from(NAMES)
@@ -52,9 +52,9 @@
         self.runs = 0
         self.events = dict.fromkeys(NAMES, 0)
         self.caches: dict[str, set[str]] = {name: set() for name in NAMES}
-        self.put_endpoints()
+        self.update_endpoints()
 
-    def put_endpoints(self) -> None:
+    def update_endpoints(self) -> None:
         self.state = set_endpoints(
             self.state,
             tuple(
@@ -67,7 +67,7 @@
     @rule(name=names, usable=st.booleans())
     def change_usable(self, name: str, usable: bool) -> None:
         self.usable[name] = usable
-        self.put_endpoints()
+        self.update_endpoints()
 
     @rule(name=names, running=st.integers(0, 40), leaving=st.booleans())
     def report(self, name: str, running: int, leaving: bool) -> None:
@@ -105,17 +105,17 @@
     def choose(self, exclude: frozenset[str], request_blocks: tuple[str, ...]) -> None:
         request = RoutingRequest("shared", "m", "a", request_blocks, 100, exclude)
         self.state, outcome = choose(self.state, request, self.now)
-        fit = {
+        eligible = {
             name
             for name in NAMES
             if self.usable[name] and not self.leaving[name] and name not in exclude
         }
         if isinstance(outcome, NoEndpoint):
-            assert not fit
+            assert not eligible
             assert outcome.retry_after_ms > 0
             return
-        assert outcome.endpoint in fit
-        healthy = {name for name in fit if not self.is_ejected(name)}
+        assert outcome.endpoint in eligible
+        healthy = {name for name in eligible if not self.is_ejected(name)}
         assert outcome.endpoint in healthy or not healthy
         assert 0 <= outcome.uncached <= request.tokens
         self.dispatch(outcome)
@@ -146,7 +146,7 @@
         evicted=blocks,
         lost=st.sampled_from([False] * 4 + [True]),
     )
-    def cache_changes(
+    def change_cache(
         self, name: str, stored: tuple[str, ...], evicted: tuple[str, ...], lost: bool
     ) -> None:
         self.events[name] += 1
@@ -168,8 +168,8 @@
         self.now += seconds
 
     @invariant()
-    def a_bounded_share_is_ejected(self) -> None:
-        assert sum(map(self.is_ejected, NAMES)) <= MOST_EJECTED
+    def ejected_share_is_bounded(self) -> None:
+        assert sum(map(self.is_ejected, NAMES)) <= MAX_EJECTED
 
     @invariant()
     def own_runs_are_counted(self) -> None:
@@ -181,11 +181,11 @@
         assert counted == self.own
 
     @invariant()
-    def a_trusted_map_without_lost_events_is_the_cache(self) -> None:
+    def a_complete_map_matches_the_cache(self) -> None:
         for name, endpoint in self.state.endpoints.items():
             prefix = endpoint.prefix
-            whole = prefix.next_sequence == self.events[name] + 1
-            if whole and not prefix.needs_resync:
+            complete = prefix.next_sequence == self.events[name] + 1
+            if complete and not prefix.needs_resync:
                 assert set(prefix.stored) == self.caches[name]
 
     def is_ejected(self, name: str) -> bool:
