--- a/tests/unit/membership/test_fencing.py
+++ b/tests/unit/membership/test_fencing.py
@@ -24,7 +24,7 @@
     return Batch(sidecar, sequence, (FencingClaim(endpoint, sidecar),))
 
 
-def test_the_newest_claimant_may_order_under_its_offset() -> None:
+def test_the_newest_claimant_may_order_with_its_offset_as_number() -> None:
     state = empty_fencing()
     assert not may_order(state, "e", OLD)
     assert fencing_number(state, "e") is None
@@ -39,7 +39,7 @@
     assert fencing_number(state, "e") == 7
 
 
-def test_a_repeated_append_does_not_take_the_right_back() -> None:
+def test_a_repeated_append_does_not_restore_an_old_claim() -> None:
     state, _ = replay_fencing(empty_fencing(), 0, claim(OLD))
     state, _ = replay_fencing(state, 1, claim(NEW))
     state, claimed = replay_fencing(state, 2, claim(OLD))
