--- a/tests/unit/membership/test_rendezvous.py
+++ b/tests/unit/membership/test_rendezvous.py
@@ -42,7 +42,7 @@
     dictionaries(text("abc", min_size=1), text("xyz", min_size=1, max_size=1)),
     integers(1, 4),
 )
-def test_zones_differ_and_each_gives_its_first_host(
+def test_zones_are_distinct_and_each_contributes_its_first_host(
     key: str, zone_by_name: dict[str, str], zones: int
 ) -> None:
     chosen = rendezvous_by_zone(key, zone_by_name, zones)
@@ -60,10 +60,10 @@
 
 def test_keys_spread_evenly_over_names() -> None:
     names = [f"entry-{index}" for index in range(10)]
-    homes = Counter(rendezvous(f"key-{i}", names, 1)[0] for i in range(10_000))
-    assert set(homes) == set(names)
-    assert max(homes.values()) < 1.15 * 1000
-    assert min(homes.values()) > 0.85 * 1000
+    first_counts = Counter(rendezvous(f"key-{i}", names, 1)[0] for i in range(10_000))
+    assert set(first_counts) == set(names)
+    assert max(first_counts.values()) < 1.15 * 1000
+    assert min(first_counts.values()) > 0.85 * 1000
 
 
 def test_every_back_end_gets_a_balanced_number_of_clients() -> None:
@@ -84,7 +84,7 @@
         assert len(before - added) == int("new" in added)
 
 
-def test_names_come_first_as_often_as_their_weight() -> None:
+def test_names_rank_first_in_proportion_to_their_weight() -> None:
     weights = {"small": 0.5, "large": 2.0, "other": 0.5}
     first = Counter(
         weighted_rendezvous(f"key-{number}", weights, 1)[0] for number in range(3_000)
@@ -93,10 +93,10 @@
     assert 0.12 < first["small"] / 3_000 < 0.21
 
 
-def test_a_weighted_name_that_goes_moves_only_its_own_keys() -> None:
+def test_removing_a_weighted_name_moves_only_its_own_keys() -> None:
     weights = {f"n{number}": 1.0 + number for number in range(8)}
-    left = {name: weight for name, weight in weights.items() if name != "n5"}
+    remaining = {name: weight for name, weight in weights.items() if name != "n5"}
     for number in range(300):
         before = weighted_rendezvous(f"key-{number}", weights, 2)
-        after = weighted_rendezvous(f"key-{number}", left, 1)
+        after = weighted_rendezvous(f"key-{number}", remaining, 1)
         assert after[0] == (before[1] if before[0] == "n5" else before[0])
