--- a/tests/unit/membership/test_suspicion.py
+++ b/tests/unit/membership/test_suspicion.py
@@ -9,39 +9,39 @@
 STEP = 1.5 * ANSWER_TIMEOUT
 
 
-def asked(times: int, step: float = STEP) -> tuple[FailureDetector, float]:
+def after_requests(count: int, step: float = STEP) -> tuple[FailureDetector, float]:
     """Return what is thought of a process that was asked some times in a row."""
-    suspicions, now = FailureDetector(), 100.0
-    for _ in range(times):
-        suspicions.on_asked("b", now)
+    detector, now = FailureDetector(), 100.0
+    for _ in range(count):
+        detector.on_asked("b", now)
         now += step
-    return suspicions, now
+    return detector, now
 
 
-def test_a_process_is_suspected_after_some_questions_and_time_to_answer() -> None:
-    suspicions, now = asked(MAX_UNANSWERED)
-    assert suspicions.is_suspected("b", now)
-    assert not suspicions.is_suspected("b", now - STEP)
-    assert not suspicions.is_suspected("other", now)
+def test_a_process_is_suspected_after_unanswered_requests_and_the_timeout() -> None:
+    detector, now = after_requests(MAX_UNANSWERED)
+    assert detector.is_suspected("b", now)
+    assert not detector.is_suspected("b", now - STEP)
+    assert not detector.is_suspected("other", now)
 
 
-def test_fewer_questions_leave_no_suspicion_however_long_ago() -> None:
-    suspicions, now = asked(MAX_UNANSWERED - 1)
-    assert not suspicions.is_suspected("b", now + 60)
+def test_fewer_requests_never_cause_suspicion() -> None:
+    detector, now = after_requests(MAX_UNANSWERED - 1)
+    assert not detector.is_suspected("b", now + 60)
 
 
-def test_questions_at_once_count_as_one() -> None:
-    suspicions, now = asked(50, step=0.0)
-    assert not suspicions.is_suspected("b", now + 60)
+def test_concurrent_requests_count_as_one() -> None:
+    detector, now = after_requests(50, step=0.0)
+    assert not detector.is_suspected("b", now + 60)
 
 
-def test_any_word_ends_the_suspicion() -> None:
-    suspicions, now = asked(MAX_UNANSWERED)
-    suspicions.on_heard("b")
-    assert not suspicions.is_suspected("b", now)
+def test_any_message_clears_the_suspicion() -> None:
+    detector, now = after_requests(MAX_UNANSWERED)
+    detector.on_heard("b")
+    assert not detector.is_suspected("b", now)
 
 
-def test_boots_that_ended_are_forgotten() -> None:
-    suspicions, _ = asked(MAX_UNANSWERED)
-    suspicions.retain_only(frozenset({"other"}))
-    assert not suspicions.unanswered
+def test_state_of_ended_boots_is_dropped() -> None:
+    detector, _ = after_requests(MAX_UNANSWERED)
+    detector.retain_only(frozenset({"other"}))
+    assert not detector.unanswered
