--- a/tests/unit/membership/test_view.py
+++ b/tests/unit/membership/test_view.py
@@ -30,14 +30,14 @@
     return on_host_list(empty_view(), LIVE, 0.0)
 
 
-def test_a_listed_host_is_usable_before_it_is_seen() -> None:
+def test_a_listed_host_is_usable_without_evidence() -> None:
     view = listed_live()
     assert usable(view, "e", 0.0)
     assert not usable(view, "unknown", 0.0)
     assert not usable(on_host_list(view, LEAVING, 1.0), "e", 1.0)
 
 
-def test_direct_evidence_newer_than_the_list_beats_it() -> None:
+def test_direct_evidence_newer_than_the_list_takes_precedence() -> None:
     view = on_host_list(listed_live(), LEAVING, 1.0)
     view = on_direct_evidence(view, "e", FIRST, Evidence.REACHABLE, 2.0)
     view = on_host_list(view, LEAVING, 3.0)
@@ -48,13 +48,13 @@
     assert usable(view, "e", 4.0 + EVIDENCE_SECONDS)
 
 
-def test_a_change_in_the_list_beats_older_evidence() -> None:
+def test_a_change_in_the_list_overrides_older_evidence() -> None:
     view = on_direct_evidence(listed_live(), "e", FIRST, Evidence.REACHABLE, 1.0)
     view = on_host_list(view, LEAVING, 2.0)
     assert not usable(view, "e", 2.0)
 
 
-def test_a_host_seen_but_not_listed_yet_is_usable() -> None:
+def test_a_reachable_host_not_yet_listed_is_usable() -> None:
     view = on_direct_evidence(empty_view(), "e", FIRST, Evidence.REACHABLE, 1.0)
     view = on_host_list(view, ABSENT, 2.0)
     assert usable(view, "e", 2.0)
@@ -68,7 +68,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(STEPS, STEPS, booleans())
-def test_leaving_holds_for_an_incarnation_and_no_longer(
+def test_leaving_applies_to_one_incarnation_only(
     before: list[tuple[tuple[HostEntry, ...] | None, Evidence]],
     after: list[tuple[tuple[HostEntry, ...] | None, Evidence]],
     returns: bool,
@@ -87,13 +87,13 @@
         assert usable(view, "e", now + 1.0)
 
 
-def test_a_new_incarnation_ignores_news_of_the_old_one() -> None:
+def test_evidence_of_an_old_incarnation_is_ignored() -> None:
     view = on_direct_evidence(listed_live(), "e", SECOND, Evidence.REACHABLE, 1.0)
     view = on_direct_evidence(view, "e", FIRST, Evidence.UNREACHABLE, 2.0)
     assert usable(view, "e", 2.0)
 
 
-def test_an_absent_host_is_suspect_soon_and_a_listed_one_late() -> None:
+def test_an_absent_host_is_suspect_sooner_than_a_listed_one() -> None:
     view = on_direct_evidence(listed_live(), "e", FIRST, Evidence.UNREACHABLE, 1.0)
     view = on_direct_evidence(view, "e", FIRST, Evidence.UNREACHABLE, 20.0)
     assert suspects(view, 1.0 + ABSENT_SUSPECT_SECONDS) == ()
@@ -104,14 +104,14 @@
     assert suspects(back, 1000.0) == ()
 
 
-def test_absence_from_the_list_alone_makes_nobody_suspect() -> None:
+def test_absence_from_the_list_alone_is_no_suspicion() -> None:
     view = on_host_list(listed_live(), ABSENT, 1.0)
     assert suspects(view, 1000.0) == ()
     seen = on_direct_evidence(view, "e", FIRST, Evidence.REACHABLE, 2.0)
     assert suspects(on_host_list(seen, ABSENT, 3.0), 1000.0) == ()
 
 
-def test_a_host_gone_for_long_is_forgotten() -> None:
+def test_a_host_absent_for_long_is_removed() -> None:
     view = on_direct_evidence(listed_live(), "e", FIRST, Evidence.UNREACHABLE, 1.0)
     view = on_host_list(view, ABSENT, 2.0)
     assert "e" in view.hosts
