--- a/tests/unit/routing/__init__.py
+++ b/tests/unit/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of routing."""
+"""Tests of clementinebend_routing."""
--- a/tests/unit/routing/test_choice.py
+++ b/tests/unit/routing/test_choice.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint: load, prefixes, zones, and what is never chosen."""
+"""Endpoint selection by load, cached prefix, zone and eligibility."""
 
 from clementinebend_records.identifiers import Incarnation
 from clementinebend_records.messages import CacheEvent, LoadReport
--- a/tests/unit/routing/test_cold_start.py
+++ b/tests/unit/routing/test_cold_start.py
@@ -42,7 +42,7 @@
 def test_no_second_contains_more_calls_than_the_limit(
     requests: list[tuple[float, bool]],
 ) -> None:
-    """Permits may stay unused, but every call has one."""
+    """A permit may remain unused, but no call is sent without one."""
     limit, now = PermitLimit(13, 18), 0.0
     recent = RecentCalls(-WINDOW_SECONDS)
     sent: list[float] = []
--- a/tests/unit/routing/test_endpoint_queue.py
+++ b/tests/unit/routing/test_endpoint_queue.py
@@ -1,4 +1,4 @@
-"""What entries are told of an endpoint's queue, and what one process keeps for all."""
+"""The queue of an endpoint as kept by one process and reported to all entries."""
 
 from random import Random
 
@@ -97,14 +97,15 @@
 CALLS_PER_SECOND = 160.0
 SECONDS = 20.0
 LATE_SECONDS = 0.25
-"""Seconds ahead of a prompt from which on its first token is late."""
+"""A first token is late if this many seconds of work are queued before its prompt."""
 
 
 def late_fraction(sample_size: int, report_interval: float | None) -> float:
-    """Replay prompts of very unlike lengths at 0.6 of what the endpoints read.
+    """Simulate prompts of widely varying length at 0.6 of the endpoints' capacity.
 
-    Each is placed at the best of ``sample_size`` random endpoints, by their queues
-    as they are, or as they were told to all each ``report_interval`` seconds.
+    Each prompt is sent to the best of ``sample_size`` random endpoints. The queues are
+    known as they are, or, if ``report_interval`` is set, as they were at the last
+    report, which all entries receive every ``report_interval`` seconds.
     """
     random = Random(11)
     free_at = [0.0] * ENDPOINTS
--- a/tests/unit/routing/test_fatal_runs.py
+++ b/tests/unit/routing/test_fatal_runs.py
@@ -1,4 +1,4 @@
-"""Which request is taken for the cause of endpoints' ends."""
+"""Detection of the request that causes endpoints to end."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -87,7 +87,7 @@
 
 
 def _longest_sequence(evidence: Evidence, last: float) -> int:
-    """Return the longest series by trying all, as the oracle."""
+    """Return the length of the longest sequence by exhaustive search."""
     following = [
         run for run in evidence if run.sent_at >= last - 0.02 and run.ended_at > last
     ]
--- a/tests/unit/routing/test_hedging.py
+++ b/tests/unit/routing/test_hedging.py
@@ -1,4 +1,4 @@
-"""Hedges go to the slowest few, and stop when everything is slow."""
+"""Hedging of the slowest look-ups, within its share of all look-ups."""
 
 from clementinebend_routing.hedging import (
     HedgingState,
--- a/tests/unit/routing/test_placement.py
+++ b/tests/unit/routing/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement serves demand, spares the weight store, and comes to rest."""
+"""Placement follows demand, respects the store's rate, and is stable."""
 
 from os import environ
 
--- a/tests/unit/routing/test_prefill.py
+++ b/tests/unit/routing/test_prefill.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoint whose first token comes soonest."""
+"""Selection of the endpoint with the earliest expected first token."""
 
 from random import Random
 
@@ -16,7 +16,7 @@
 )
 
 PREFILL_PER_SECOND = 66_000
-"""Prompt tokens that the endpoints of this load read in a second."""
+"""Prompt tokens that an endpoint of the simulation prefills per second."""
 
 
 def make_candidate(
@@ -81,9 +81,9 @@
 
 
 def late_first_tokens(use_pace: bool) -> int:
-    """Replay clumps of prompts before nine endpoints, a third of them slow.
+    """Simulate bursts of prompts to nine endpoints, a third of them slow.
 
-    Returns how many first tokens come later than 0.8 s after the prompt.
+    Returns the number of first tokens that arrive more than 0.8 s after the prompt.
     """
     random = Random(5)
     speed = [0.25 if name % 3 == 0 else 1.0 for name in range(9)]
--- a/tests/unit/routing/test_sessions.py
+++ b/tests/unit/routing/test_sessions.py
@@ -1,4 +1,4 @@
-"""Where a prompt's parts are believed to be kept, and from where they are fetched."""
+"""Which prompt parts are tracked as cached, and where they are fetched from."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 
 
 def tracker_of(**sent: tuple[PromptPart, ...]) -> SessionTracker:
-    """Return a memory of what each endpoint was sent."""
+    """Return a tracker that recorded the prompt prefilled by each endpoint."""
     tracker = SessionTracker()
     for endpoint, parts in sent.items():
         tracker.record_prefill(endpoint, parts)
@@ -22,7 +22,7 @@
     parts: Sequence[PromptPart],
     others: Sequence[str],
 ) -> str | None:
-    """Return from where ``endpoint`` would fetch parts of a prompt."""
+    """Return the endpoint from which ``endpoint`` would fetch parts of a prompt."""
     unread = {name: session_tracker.uncached(name, parts) for name in others}
     return best_source(session_tracker.uncached(endpoint, parts), unread)
 
--- a/tests/unit/routing/test_silence.py
+++ b/tests/unit/routing/test_silence.py
@@ -1,4 +1,4 @@
-"""Doubt about endpoints that are silent, and how it ends."""
+"""When silent endpoints are doubted, and when they are retried."""
 
 from clementinebend_routing.silence import (
     ANNOUNCEMENT_LAG_SECONDS,
--- a/tests/unit/routing/test_stateful_choice.py
+++ b/tests/unit/routing/test_stateful_choice.py
@@ -1,6 +1,6 @@
-"""Fuzzing of the choice: what is never chosen, and what a cache map says.
+"""Stateful fuzzing of endpoint selection and of the cache maps.
 
-``CLEMENTINEBEND_FUZZ=1`` runs more, with fresh seeds.
+``CLEMENTINEBEND_FUZZ=1`` runs more examples with random seeds.
 """
 
 from os import environ
@@ -39,7 +39,7 @@
 
 
 class RoutingMachine(RuleBasedStateMachine):
-    """Knows the truth about each endpoint and its cache."""
+    """Compares routing with a model of each endpoint and its cache."""
 
     def __init__(self) -> None:
         super().__init__()
