--- a/tests/unit/membership/test_rendezvous.py
+++ b/tests/unit/membership/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Balance and movement of rendezvous hashing and subsets."""
+"""Balance and key movement of rendezvous hashing and of subsets."""
 
 from collections import Counter
 from itertools import chain
--- a/tests/unit/membership/test_suspicion.py
+++ b/tests/unit/membership/test_suspicion.py
@@ -1,4 +1,4 @@
-"""When a process is taken for gone by what it leaves unanswered."""
+"""When a process is suspected because of unanswered requests."""
 
 from clementinebend_membership.suspicion import (
     ANSWER_TIMEOUT,
@@ -10,7 +10,7 @@
 
 
 def after_requests(count: int, step: float = STEP) -> tuple[FailureDetector, float]:
-    """Return what is thought of a process that was asked some times in a row."""
+    """Return a detector after ``count`` unanswered requests to one process."""
     detector, now = FailureDetector(), 100.0
     for _ in range(count):
         detector.on_asked("b", now)
--- a/tests/unit/membership/test_view.py
+++ b/tests/unit/membership/test_view.py
@@ -1,4 +1,4 @@
-"""The lagging host list joined with direct evidence."""
+"""Host availability from the lagging host list and direct evidence."""
 
 from hypothesis import given, settings
 from hypothesis.strategies import booleans, lists, sampled_from, tuples
