--- a/libs/routing/src/clementinebend_routing/placement.py
+++ b/libs/routing/src/clementinebend_routing/placement.py
@@ -13,7 +13,7 @@
 
 MIN_GAIN_RATIO = 1.5
 """A replica is replaced only if the demand gained is more than this many times the
-demand lost."""
+demand lost. The first replica of a model in demand is exempt."""
 
 BURST_SECONDS = 120.0
 """Maximum allowance, in seconds of the store's rate."""
