--- a/libs/routing/src/clementinebend_routing/outliers.py
+++ b/libs/routing/src/clementinebend_routing/outliers.py
@@ -18,7 +18,7 @@
 
 
 class Health(NamedTuple):
-    """Consecutive failures, ejections since the last success, and the last expiry."""
+    """Consecutive failures, ejections in a row, and the end of the latest ejection."""
 
     failures: int = 0
     ejections: int = 0
