--- a/libs/membership/src/clementinebend_membership/fencing.py
+++ b/libs/membership/src/clementinebend_membership/fencing.py
@@ -14,8 +14,7 @@
 from clementinebend_records.records import Batch, Checkpoint, FencingClaim
 
 MAX_WRITERS = 16_384
-"""Maximum number of writers whose last sequence number is kept, the most recent ones.
-"""
+"""Maximum number of writers whose last batch is kept, the most recent ones."""
 
 
 class CurrentClaim(NamedTuple):
