--- a/tests/unit/routing/test_prefill.py
+++ b/tests/unit/routing/test_prefill.py
@@ -54,9 +54,15 @@
 
 
 def test_only_long_prompts_avoid_endpoints_with_many_streams() -> None:
-    busy, idle = make_candidate("a")._replace(running=8), make_candidate("b", 9_000)
-    assert choose_candidate([busy, idle]).name == "a"
-    long = [each._replace(unread=LONG_PROMPT_TOKENS + 1) for each in (busy, idle)]
+    many_streams, no_streams = (
+        make_candidate("a")._replace(running=8),
+        make_candidate("b", 9_000),
+    )
+    assert choose_candidate([many_streams, no_streams]).name == "a"
+    long = [
+        each._replace(unread=LONG_PROMPT_TOKENS + 1)
+        for each in (many_streams, no_streams)
+    ]
     assert choose_candidate(long).name == "b"
 
 
