--- a/libs/bench/src/clementinebend_bench/models/outage_entries.py
+++ b/libs/bench/src/clementinebend_bench/models/outage_entries.py
@@ -38,9 +38,9 @@
 from clementinebend_records.messages import LoadReport
 from clementinebend_routing.choice import (
     Candidate,
-    NoChoice,
+    NoEndpoint,
+    RoutingRequest,
     RoutingState,
-    Wanted,
     choose,
     empty_routing,
     on_dispatch,
@@ -258,12 +258,12 @@
 ) -> Step:
     if not isinstance(entry, FleetEntry):
         raise TypeError(f"no fleet entry: {entry!r}")
-    wanted = Wanted(
+    wanted = RoutingRequest(
         request.service, "m", entry.zone, request.blocks, request.prompt, exclude
     )
     routing, outcome = choose(entry.routing, wanted, now)
     entry = entry._replace(routing=routing)
-    if isinstance(outcome, NoChoice):
+    if isinstance(outcome, NoEndpoint):
         return _give_back(entry, request.request, outcome.retry_after_ms, now)
     routing = on_dispatch(
         routing, outcome.endpoint, request.request, now, outcome.uncached
--- a/libs/bench/src/clementinebend_bench/models/policies.py
+++ b/libs/bench/src/clementinebend_bench/models/policies.py
@@ -12,18 +12,18 @@
 from clementinebend_records.messages import CacheEvent, LoadReport
 from clementinebend_routing.choice import (
     Candidate,
-    NoChoice,
+    NoEndpoint,
+    RoutingRequest,
     RoutingState,
-    Wanted,
     choose,
     empty_routing,
+    endpoints_to_resync,
     on_cache_event,
     on_cache_snapshot,
     on_dispatch,
     on_finish,
     on_load_report,
     set_endpoints,
-    stale_maps,
 )
 
 
@@ -146,9 +146,11 @@
 
 @pick.register
 def _(policy: FleetRouting, request: Request, now: float) -> tuple[Policy, str | None]:
-    wanted = Wanted(request.service, "m", policy.zone, request.blocks, request.prompt)
+    wanted = RoutingRequest(
+        request.service, "m", policy.zone, request.blocks, request.prompt
+    )
     state, outcome = choose(policy.state, wanted, now)
-    if isinstance(outcome, NoChoice):
+    if isinstance(outcome, NoEndpoint):
         return policy._replace(state=state), None
     state = on_dispatch(state, outcome.endpoint, request.request, now, outcome.uncached)
     return policy._replace(state=state), outcome.endpoint
@@ -197,7 +199,7 @@
 
 def maps_to_resync(policy: Policy) -> tuple[str, ...]:
     """Return the endpoints whose cache the policy wants to be told of anew."""
-    return stale_maps(policy.state) if isinstance(policy, FleetRouting) else ()
+    return endpoints_to_resync(policy.state) if isinstance(policy, FleetRouting) else ()
 
 
 def _names(candidates: tuple[Candidate, ...]) -> dict[str, tuple[str, ...]]:
--- a/libs/membership/src/clementinebend_membership/fencing.py
+++ b/libs/membership/src/clementinebend_membership/fencing.py
@@ -1,7 +1,8 @@
-"""Which sidecar incarnation may order an engine: replay of fencing claims.
+"""Which sidecar incarnation may order an engine, by replay of fencing claims.
 
-The newest claimant of an endpoint may order it; the offset of its claim is
-its fencing number. An engine that checks numbers refuses an older claimant.
+The newest claimant of an endpoint may order its engine. The log offset of the claim is
+its fencing number (fencing token). An engine that checks fencing numbers refuses an
+older claimant.
 """
 
 from operator import itemgetter
@@ -12,12 +13,12 @@
 from clementinebend_records.identifiers import Incarnation, digest_of
 from clementinebend_records.records import Batch, Checkpoint, FencingClaim
 
-WRITERS_KEPT = 16_384
-"""Writers whose last sequence is remembered: the ones that wrote last."""
+MAX_WRITERS = 16_384
+"""Maximum number of writers whose last batch is kept, the most recent ones."""
 
 
-class Standing(NamedTuple):
-    """The newest claim of an endpoint."""
+class CurrentClaim(NamedTuple):
+    """The newest claim to an endpoint and its fencing number."""
 
     number: int
     sidecar: Incarnation
@@ -31,15 +32,15 @@
 
 
 class FencingState(NamedTuple):
-    """Claims that stand, by endpoint, as of ``offset``."""
+    """The current claim to each endpoint, as of ``offset``."""
 
-    standing: dict[str, Standing]
+    current_claim: dict[str, CurrentClaim]
     writers: dict[str, LastBatch]
     offset: int
 
 
 class Claimed(NamedTuple):
-    """A sidecar took the right to order an endpoint."""
+    """Event: a sidecar acquired the right to order an endpoint's engine."""
 
     endpoint: str
     sidecar: Incarnation
@@ -47,9 +48,9 @@
 
 
 class FencingContent(NamedTuple):
-    """The state as a checkpoint holds it, in sorted order."""
+    """The state as stored in a checkpoint, in sorted order."""
 
-    standing: tuple[tuple[str, Standing], ...]
+    current_claim: tuple[tuple[str, CurrentClaim], ...]
     writers: tuple[tuple[str, LastBatch], ...]
     offset: int
 
@@ -62,47 +63,46 @@
 def replay_fencing(
     state: FencingState, offset: int, batch: Batch
 ) -> tuple[FencingState, tuple[Claimed, ...]]:
-    """Apply a batch; a repeat of one applied before takes nothing."""
+    """Apply a batch; a batch that was applied before is ignored."""
     state = state._replace(offset=offset)
     last = state.writers.get(batch.writer)
     if last is not None and batch.sequence <= last.sequence:
         return state, ()
     state.writers[batch.writer] = LastBatch(batch.sequence, offset)
-    _forget_oldest(state.writers)
+    _evict_oldest(state.writers)
     claims = tuple(
         Claimed(record.endpoint, record.sidecar, offset)
         for record in batch.records
         if isinstance(record, FencingClaim)
     )
     for claim in claims:
-        state.standing[claim.endpoint] = Standing(offset, claim.sidecar)
+        state.current_claim[claim.endpoint] = CurrentClaim(offset, claim.sidecar)
     return state, claims
 
 
 def fencing_number(state: FencingState, endpoint: str) -> int | None:
-    """Return the newest fencing number of an endpoint, None without a claim."""
-    standing = state.standing.get(endpoint)
-    return None if standing is None else standing.number
+    """Return the current fencing number of an endpoint, None without a claim."""
+    current_claim = state.current_claim.get(endpoint)
+    return None if current_claim is None else current_claim.number
 
 
 def may_order(state: FencingState, endpoint: str, sidecar: Incarnation) -> bool:
-    """Tell whether ``sidecar`` is the newest claimant of ``endpoint``.
-
-    This alone does not stop an older claimant that has not read the newer
-    claim. An engine that checks fencing numbers refuses that one's orders. An
-    engine that ignores them is protected by a port that each sidecar binds for
-    its lifetime on the endpoint's own host: the kernel refuses a second
-    binder, so a replacement in the same slot cannot act until its predecessor,
-    paused or not, is gone.
+    """Return whether ``sidecar`` is the newest claimant of ``endpoint``.
+
+    This alone does not stop an older claimant that has not read the newer claim. An
+    engine that checks fencing numbers refuses the orders of such a claimant. An engine
+    that ignores them is protected by a port that each sidecar binds on the endpoint's
+    host for its lifetime. The kernel refuses a second bind, so a replacement in the
+    same slot cannot act until its predecessor, paused or not, has exited.
     """
-    standing = state.standing.get(endpoint)
-    return standing is not None and standing.sidecar == sidecar
+    current_claim = state.current_claim.get(endpoint)
+    return current_claim is not None and current_claim.sidecar == sidecar
 
 
 def fencing_checkpoint(state: FencingState, stream: str) -> Checkpoint:
     """Return a checkpoint of the state."""
     content = FencingContent(
-        tuple(sorted(state.standing.items())),
+        tuple(sorted(state.current_claim.items())),
         tuple(sorted(state.writers.items())),
         state.offset,
     )
@@ -111,13 +111,15 @@
 
 
 def restore_fencing(checkpoint: Checkpoint) -> FencingState:
-    """Return the state that a checkpoint holds."""
+    """Return the state stored in a checkpoint."""
     content = decode(checkpoint.state, type=FencingContent)
-    return FencingState(dict(content.standing), dict(content.writers), content.offset)
+    return FencingState(
+        dict(content.current_claim), dict(content.writers), content.offset
+    )
 
 
-def _forget_oldest(writers: dict[str, LastBatch]) -> None:
-    if len(writers) <= WRITERS_KEPT:
+def _evict_oldest(writers: dict[str, LastBatch]) -> None:
+    if len(writers) <= MAX_WRITERS:
         return
     offsets = ((last.offset, writer) for writer, last in writers.items())
     _, oldest = min(offsets, key=itemgetter(0))
--- a/libs/relay/src/clementinebend_relay/endpoint_state.py
+++ b/libs/relay/src/clementinebend_relay/endpoint_state.py
@@ -15,7 +15,7 @@
     SILENT_SECONDS,
     STREAM_SILENT_SECONDS,
     Doubt,
-    is_over,
+    is_retry_due,
     on_heard,
     on_silence,
     on_tried,
@@ -139,7 +139,7 @@
         if self.is_silent(now):
             self.check_silence(now)
             return True
-        return not is_over(self.doubt, self.announced_at, now)
+        return not is_retry_due(self.doubt, self.announced_at, now)
 
     def on_heard(self, now: float) -> None:
         """Record that bytes of an answer have arrived."""
--- a/libs/relay/src/clementinebend_relay/quarantine.py
+++ b/libs/relay/src/clementinebend_relay/quarantine.py
@@ -16,17 +16,17 @@
 from clementinebend_relay.metrics import quarantined_requests
 from clementinebend_relay.models import Reason, Rejection
 from clementinebend_routing.fatal_runs import (
-    FATAL_ENDS,
-    OVERLAP_SECONDS,
+    MIN_FATAL_ENDS,
+    SKEW_SECONDS,
     Evidence,
     FatalRun,
     endpoints_of,
-    ends_in_series,
     is_fatal,
     is_suspected,
+    sequential_ends,
     with_run,
     without_endpoints,
-    without_later,
+    without_runs_after,
 )
 
 QUARANTINE_RETRY_DELAY = 30.0
@@ -150,7 +150,7 @@
         if self.alive_at.get(run.endpoint, -inf) > run.ended_at + LATE_DATA_SECONDS:
             return False
         run = run._replace(ended_at=self._earliest_end(run))
-        if run.sent_at > run.ended_at + OVERLAP_SECONDS:
+        if run.sent_at > run.ended_at + SKEW_SECONDS:
             return False
         if fingerprint in self.quarantined:
             self.quarantined[fingerprint] |= {run.endpoint}
@@ -162,7 +162,7 @@
         if not is_suspected(before) and is_suspected(evidence):
             reason = "endpoints ended under it, and it was not answered"
             self._log("request suspected", fingerprint, endpoints_of(evidence), reason)
-        if ends_in_series(evidence) >= FATAL_ENDS:
+        if sequential_ends(evidence) >= MIN_FATAL_ENDS:
             self.decision_due_at.setdefault(
                 fingerprint, self.clock() + DECISION_SECONDS
             )
@@ -223,7 +223,7 @@
         found = [
             name
             for name, evidence in self.evidence.items()
-            if len(evidence) >= FATAL_ENDS and self._is_fatal(name)
+            if len(evidence) >= MIN_FATAL_ENDS and self._is_fatal(name)
         ]
         for fingerprint in found:
             self.put(fingerprint, "endpoints ended under it")
@@ -261,9 +261,11 @@
             return known
         self.ended_at[run.endpoint] = run.ended_at
         if known < inf:
-            latest = run.ended_at + OVERLAP_SECONDS
+            latest = run.ended_at + SKEW_SECONDS
             for name, evidence in list(self.evidence.items()):
-                self._set_evidence(name, without_later(evidence, run.endpoint, latest))
+                self._set_evidence(
+                    name, without_runs_after(evidence, run.endpoint, latest)
+                )
         return run.ended_at
 
     def _is_fatal(self, fingerprint: str) -> bool:
--- a/libs/routing/src/clementinebend_routing/choice.py
+++ b/libs/routing/src/clementinebend_routing/choice.py
@@ -1,15 +1,15 @@
-"""Choice of the endpoint with the least expected time to first token.
-
-The score of an endpoint is its expected wait plus the prefill of the prompt
-tokens it has not cached, plus a cost for another availability zone. It is
-worked out for ``d`` endpoints drawn at random and for those that hold the
-longest prefix. The draw keeps routers that share a lagging view from sending
-to the same endpoint. Sources: Mitzenmacher, "The Power of Two Choices in
-Randomized Load Balancing" (2001); Wydrowski et al., "Load is not what you
-should balance: Introducing Prequal" (NSDI 2024).
-
-All functions take ``now`` in monotonic seconds; the state handed in is
-consumed. The draw is deterministic from the seed in the state.
+"""Selection of the endpoint with the lowest expected time to first token.
+
+The score of an endpoint is its expected queueing delay plus the prefill time of the
+prompt tokens that it has not cached, scaled up during slow start, plus a penalty for
+another availability zone. Only endpoints sampled at random and those with the longest
+cached prefix are scored. Random sampling prevents routers that share a lagging view
+from all sending to the same endpoint. Sources: Mitzenmacher, "The Power of Two Choices
+in Randomized Load Balancing" (2001); Wydrowski et al., "Load is not what you should
+balance: Introducing Prequal" (NSDI 2024).
+
+All functions take ``now`` in monotonic seconds. They consume the state passed in: use
+only the state they return. The sampling is deterministic for a given seed.
 """
 
 from collections.abc import Iterable, Sequence
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 from clementinebend_records.messages import CacheEvent, LoadReport
-from clementinebend_routing.draws import draw_names
+from clementinebend_routing.draws import sample_names
 from clementinebend_routing.endpoints import (
     Candidate,
     EndpointState,
@@ -28,22 +28,22 @@
     new_endpoint,
     prefill_time,
 )
-from clementinebend_routing.models import Choice, NoChoice, Wanted
+from clementinebend_routing.models import Choice, NoEndpoint, RoutingRequest
 from clementinebend_routing.outliers import ejection_allowed, is_ejected, on_result
 from clementinebend_routing.prefix import (
     apply_event,
     apply_snapshot,
     cached_blocks,
-    remember_dispatch,
+    record_dispatch,
 )
-from clementinebend_routing.slow_start import started_share
+from clementinebend_routing.slow_start import slow_start_share
 
 __all__ = [
     "Candidate",
     "Choice",
-    "NoChoice",
+    "NoEndpoint",
     "RoutingState",
-    "Wanted",
+    "RoutingRequest",
     "choose",
     "empty_routing",
     "on_cache_event",
@@ -52,54 +52,56 @@
     "on_finish",
     "on_load_report",
     "set_endpoints",
-    "stale_maps",
+    "endpoints_to_resync",
 ]
 
-DRAWN = 8
-"""Endpoints drawn at random for each choice."""
+RANDOM_CANDIDATES = 8
+"""Number of endpoints sampled at random for each request."""
 
-PREFIX_HOLDERS = 2
-"""Endpoints with the longest cached prefix that are scored beside them."""
+PREFIX_CANDIDATES = 2
+"""Number of endpoints with the longest cached prefix that are scored as well."""
 
-OTHER_ZONE_COST = 0.002
-"""Seconds that another availability zone adds."""
+CROSS_ZONE_SECONDS = 0.002
+"""Seconds added to the score of an endpoint in another availability zone."""
 
 UNAVAILABLE_RETRY_MS = 1_000
-"""Told when no endpoint is known that will come back by itself."""
+"""Retry delay that is returned when no endpoint is eligible."""
 
 
 class RoutingState(NamedTuple):
-    """All that one router knows of its endpoints.
+    """State of one router.
 
-    ``draw`` is the state of the random draws; ``names`` are by service.
+    ``random_state`` is the state of the random number generator. ``names`` maps each
+    service to the names of its endpoints.
     """
 
-    draw: int
+    random_state: int
     endpoints: dict[str, EndpointState]
     names: dict[str, tuple[str, ...]]
 
 
-class Scored(NamedTuple):
-    """An endpoint's expected time to first token.
+class ScoredEndpoint(NamedTuple):
+    """An endpoint and its expected time to first token.
 
-    Of equal ones the first drawn is taken, so ``place`` stands before the name.
+    The field order is the sort order: ``position`` precedes the name so that ties go to
+    the endpoint that was sampled first.
     """
 
     seconds: float
-    place: int
+    position: int
     endpoint: str
     uncached: int
 
 
 def empty_routing(seed: int) -> RoutingState:
-    """Return a router that knows no endpoint yet."""
+    """Return the state of a router without endpoints."""
     return RoutingState(seed, {}, {})
 
 
 def set_endpoints(
     state: RoutingState, candidates: Iterable[Candidate], now: float
 ) -> RoutingState:
-    """Replace the endpoints; what is known of those that stay is kept."""
+    """Replace the endpoints and keep the state of those that remain."""
     endpoints = {
         candidate.endpoint: _with_candidate(state, candidate, now)
         for candidate in candidates
@@ -117,39 +119,39 @@
 
 
 def choose(
-    state: RoutingState, wanted: Wanted, now: float
-) -> tuple[RoutingState, Choice | NoChoice]:
-    """Choose an endpoint; call ``on_dispatch`` at once when it is used.
+    state: RoutingState, request: RoutingRequest, now: float
+) -> tuple[RoutingState, Choice | NoEndpoint]:
+    """Select an endpoint; call ``on_dispatch`` as soon as it is used.
 
-    A leaving, unusable or excluded endpoint is never chosen; an ejected one
-    only when all others are out.
+    Leaving, unusable and excluded endpoints are never selected. An ejected endpoint is
+    selected only if every eligible endpoint is ejected.
     """
-    fit = _fit(state, wanted)
-    open_names = [
-        name for name in fit if not is_ejected(state.endpoints[name].health, now)
+    eligible = _eligible_endpoints(state, request)
+    not_ejected = [
+        name for name in eligible if not is_ejected(state.endpoints[name].health, now)
     ]
-    names = open_names or fit
+    names = not_ejected or eligible
     if not names:
-        return state, NoChoice(UNAVAILABLE_RETRY_MS)
+        return state, NoEndpoint(UNAVAILABLE_RETRY_MS)
     cached = {
-        name: cached_blocks(state.endpoints[name].prefix, wanted.prefix_blocks, now)
+        name: cached_blocks(state.endpoints[name].prefix, request.prefix_blocks, now)
         for name in names
     }
-    others = _mean_others(state, names)
-    state, considered = _considered(state, names, cached)
+    other_runs = _mean_other_runs(state, names)
+    state, selected = _select_candidates(state, names, cached)
     best = min(
-        _score(state, place, name, wanted, cached[name], others, now)
-        for place, name in enumerate(considered)
+        _score(state, position, name, request, cached[name], other_runs, now)
+        for position, name in enumerate(selected)
     )
     chosen = state.endpoints[best.endpoint]
-    remember_dispatch(chosen.prefix, wanted.prefix_blocks, now)
+    record_dispatch(chosen.prefix, request.prefix_blocks, now)
     return state, Choice(best.endpoint, best.seconds, best.uncached)
 
 
 def on_dispatch(
     state: RoutingState, endpoint: str, run: str, now: float, uncached: int = 0
 ) -> RoutingState:
-    """Count a run that was sent to ``endpoint``."""
+    """Record a run that was sent to ``endpoint``."""
     known = state.endpoints.get(endpoint)
     if known is not None:
         state.endpoints[endpoint] = add_run(known, run, uncached, now)
@@ -159,7 +161,7 @@
 def on_finish(
     state: RoutingState, endpoint: str, run: str, ok: bool, latency: float, now: float
 ) -> RoutingState:
-    """Take the end of a run; ``ok`` is false when the endpoint is to blame."""
+    """Record the end of a run; ``ok`` is false if the endpoint is at fault."""
     known = state.endpoints.get(endpoint)
     if known is None:
         return state
@@ -172,7 +174,10 @@
 
 
 def on_load_report(state: RoutingState, report: LoadReport, now: float) -> RoutingState:
-    """Take a load report; one of a new incarnation starts the endpoint anew."""
+    """Apply a load report.
+
+    A report of a new incarnation clears the cache map and restarts slow start.
+    """
     known = state.endpoints.get(report.endpoint)
     if known is not None:
         state.endpoints[report.endpoint] = add_report(known, report, now)
@@ -180,7 +185,7 @@
 
 
 def on_cache_event(state: RoutingState, event: CacheEvent, now: float) -> RoutingState:
-    """Take a cache event; see ``stale_maps`` for what to do after a gap."""
+    """Apply a cache event; see ``endpoints_to_resync`` for gaps in the sequence."""
     known = state.endpoints.get(event.endpoint)
     if known is not None:
         prefix = apply_event(known.prefix, event.sequence, event.stored, event.evicted)
@@ -191,7 +196,7 @@
 def on_cache_snapshot(
     state: RoutingState, endpoint: str, sequence: int, blocks: Iterable[str]
 ) -> RoutingState:
-    """Take the whole content of an endpoint's cache as of event ``sequence``."""
+    """Apply the full content of an endpoint's cache as of event ``sequence``."""
     known = state.endpoints.get(endpoint)
     if known is not None:
         prefix = apply_snapshot(known.prefix, sequence, blocks)
@@ -199,10 +204,10 @@
     return state
 
 
-def stale_maps(state: RoutingState) -> tuple[str, ...]:
-    """Return the endpoints whose cache map has gaps and needs a resync."""
+def endpoints_to_resync(state: RoutingState) -> tuple[str, ...]:
+    """Return the endpoints whose cache map is incomplete after an event gap."""
     return tuple(
-        name for name, item in state.endpoints.items() if item.prefix.distrusted
+        name for name, item in state.endpoints.items() if item.prefix.needs_resync
     )
 
 
@@ -215,11 +220,11 @@
     return known._replace(candidate=candidate)
 
 
-def _fit(state: RoutingState, wanted: Wanted) -> list[str]:
+def _eligible_endpoints(state: RoutingState, request: RoutingRequest) -> list[str]:
     return [
         name
-        for name in state.names.get(wanted.service, ())
-        if name not in wanted.exclude and _serves(state.endpoints[name], wanted.model)
+        for name in state.names.get(request.service, ())
+        if name not in request.exclude and _serves(state.endpoints[name], request.model)
     ]
 
 
@@ -232,43 +237,45 @@
     return report is not None and model in report.models
 
 
-def _mean_others(state: RoutingState, names: Sequence[str]) -> float:
-    others = [
-        state.endpoints[name].others
+def _mean_other_runs(state: RoutingState, names: Sequence[str]) -> float:
+    other_runs = [
+        state.endpoints[name].other_runs
         for name in names
         if state.endpoints[name].report is not None
     ]
-    return sum(others) / len(others) if others else 0.0
+    return sum(other_runs) / len(other_runs) if other_runs else 0.0
 
 
-def _considered(
+def _select_candidates(
     state: RoutingState, names: Sequence[str], cached: dict[str, int]
 ) -> tuple[RoutingState, tuple[str, ...]]:
-    draw, drawn = draw_names(state.draw, names, DRAWN)
-    holders = sorted(names, key=lambda name: -cached[name])[:PREFIX_HOLDERS]
+    random_state, random_names = sample_names(
+        state.random_state, names, RANDOM_CANDIDATES
+    )
+    holders = sorted(names, key=lambda name: -cached[name])[:PREFIX_CANDIDATES]
     cached_at = (name for name in holders if cached[name])
-    considered = dict.fromkeys(chain(drawn, cached_at))
-    return state._replace(draw=draw), tuple(considered)
+    selected = dict.fromkeys(chain(random_names, cached_at))
+    return state._replace(random_state=random_state), tuple(selected)
 
 
 def _score(
     state: RoutingState,
-    place: int,
+    position: int,
     name: str,
-    wanted: Wanted,
+    request: RoutingRequest,
     cached: int,
-    mean_others: float,
+    mean_other_runs: float,
     now: float,
-) -> Scored:
+) -> ScoredEndpoint:
     endpoint = state.endpoints[name]
-    blocks = max(1, len(wanted.prefix_blocks))
-    uncached = round(wanted.tokens * (1 - cached / blocks))
-    seconds = expected_wait(endpoint, mean_others, now)
+    blocks = max(1, len(request.prefix_blocks))
+    uncached = round(request.tokens * (1 - cached / blocks))
+    seconds = expected_wait(endpoint, mean_other_runs, now)
     seconds += prefill_time(endpoint, uncached)
-    seconds /= started_share(endpoint.started_at, now)
-    if endpoint.candidate.zone != wanted.zone:
-        seconds += OTHER_ZONE_COST
-    return Scored(seconds, place, name, uncached)
+    seconds /= slow_start_share(endpoint.started_at, now)
+    if endpoint.candidate.zone != request.zone:
+        seconds += CROSS_ZONE_SECONDS
+    return ScoredEndpoint(seconds, position, name, uncached)
 
 
 def _may_eject(state: RoutingState, service: str, now: float) -> bool:
--- a/libs/routing/src/clementinebend_routing/placement.py
+++ b/libs/routing/src/clementinebend_routing/placement.py
@@ -1,49 +1,50 @@
-"""Placement of models on endpoints, within the rate of the weight store.
+"""Placement of models on endpoints, limited by the bandwidth of the weight store.
 
-Greedy: the model with the most demand for each of its replicas gets the next
-one, on an endpoint with room, or in place of the model that needs its replica
-least. A move must be worth it by a margin, so that small changes of demand
-move nothing, and loads are paid from an allowance that grows at the store's
-rate. A model in demand never loses its last replica.
+The algorithm is greedy: the model with the highest demand per replica gets the next
+replica, on an endpoint with free capacity or in place of the model that loses least by
+it. A replacement must gain more than it costs by a margin, so that small changes in
+demand do not move replicas. Loads are limited by an allowance of bytes that accrues at
+the store's rate. The last replica of a model in demand is never removed.
 """
 
 from collections.abc import Iterable, Mapping
 from itertools import chain
 from typing import NamedTuple
 
-WORTHWHILE = 1.5
-"""A replica moves only for this many times the demand that it serves now."""
+MIN_GAIN_RATIO = 1.5
+"""A replica is replaced only if the demand gained is more than this many times the
+demand lost. The first replica of a model in demand is exempt."""
 
 BURST_SECONDS = 120.0
-"""Time's worth of the store's rate that can be saved up."""
+"""Maximum allowance, in seconds of the store's rate."""
 
 
 class ModelNeed(NamedTuple):
-    """Demand for a model in any one unit, and the size of its weights in bytes."""
+    """Demand for a model in an arbitrary unit, and the size of its weights in bytes."""
 
     model: str
     demand: float
     size: int
 
 
-class Room(NamedTuple):
-    """An endpoint that can hold ``places`` models; ones it is loading count too."""
+class PlacementTarget(NamedTuple):
+    """An endpoint with capacity for ``max_models`` models, including those loading."""
 
     endpoint: str
     zone: str
-    places: int
+    max_models: int
     models: tuple[str, ...]
 
 
 class LoadModel(NamedTuple):
-    """Effect: the endpoint's sidecar is to order the engine to load a model."""
+    """Effect: the endpoint's sidecar orders the engine to load a model."""
 
     endpoint: str
     model: str
 
 
 class UnloadModel(NamedTuple):
-    """Effect: the endpoint's sidecar is to order the engine to unload a model."""
+    """Effect: the endpoint's sidecar orders the engine to unload a model."""
 
     endpoint: str
     model: str
@@ -53,7 +54,7 @@
 
 
 class PlacementState(NamedTuple):
-    """Bytes that may be fetched now, and the store's bytes in a second."""
+    """The bytes that may be loaded now, and the store's rate in bytes per second."""
 
     rate: float
     allowance: float
@@ -61,66 +62,67 @@
 
 
 class Move(NamedTuple):
-    """A model's next replica, and the one it takes the place of."""
+    """A new replica of a model, and the model that it replaces, if any."""
 
-    room: Room
+    target: PlacementTarget
     model: str
     replaced: str | None
 
 
-def empty_placement(rate: float, now: float) -> PlacementState:
-    """Return placement that may start with a burst's worth of loads."""
+def initial_placement(rate: float, now: float) -> PlacementState:
+    """Return a state with a full allowance."""
     return PlacementState(rate, rate * BURST_SECONDS, now)
 
 
 def plan_placement(
     state: PlacementState,
     needs: Iterable[ModelNeed],
-    rooms: Iterable[Room],
+    targets: Iterable[PlacementTarget],
     now: float,
 ) -> tuple[PlacementState, tuple[PlacementOrder, ...]]:
-    """Return the orders to give now; call again when they are carried out."""
+    """Return the orders to issue now; call again when they are completed."""
     state = _refill(state, now)
     need_by_model = {need.model: need for need in needs if need.demand > 0}
-    room_by_name = {room.endpoint: room for room in rooms}
+    target_by_name = {target.endpoint: target for target in targets}
     orders: list[PlacementOrder] = []
-    while (move := _best_move(need_by_model, room_by_name)) is not None:
+    while (move := _best_move(need_by_model, target_by_name)) is not None:
         size = need_by_model[move.model].size
         if size > state.allowance:
             break
         state = state._replace(allowance=state.allowance - size)
-        room_by_name[move.room.endpoint] = _moved(move)
+        target_by_name[move.target.endpoint] = _with_move(move)
         orders.extend(_orders(move))
     return state, tuple(orders)
 
 
 def _refill(state: PlacementState, now: float) -> PlacementState:
-    earned = state.rate * max(0.0, now - state.updated_at)
-    allowance = min(state.rate * BURST_SECONDS, state.allowance + earned)
+    accrued = state.rate * max(0.0, now - state.updated_at)
+    allowance = min(state.rate * BURST_SECONDS, state.allowance + accrued)
     return state._replace(allowance=allowance, updated_at=now)
 
 
 def _best_move(
-    needs: Mapping[str, ModelNeed], rooms: Mapping[str, Room]
+    needs: Mapping[str, ModelNeed], targets: Mapping[str, PlacementTarget]
 ) -> Move | None:
-    """Return the move for the neediest model that has one, if any is worth it."""
-    replicas = _replicas(rooms.values())
+    """Return the move for the model with the highest demand per replica, if any."""
+    replicas = _replicas(targets.values())
     neediest = sorted(
-        needs.values(), key=lambda need: (-_need_of(need, replicas), need.model)
+        needs.values(),
+        key=lambda need: (-_demand_per_replica(need, replicas), need.model),
     )
-    moves = (_move_for(need, needs, replicas, rooms) for need in neediest)
+    moves = (_move_for(need, needs, replicas, targets) for need in neediest)
     return next((move for move in moves if move is not None), None)
 
 
-def _replicas(rooms: Iterable[Room]) -> dict[str, int]:
+def _replicas(targets: Iterable[PlacementTarget]) -> dict[str, int]:
     counts: dict[str, int] = {}
-    for model in chain.from_iterable(room.models for room in rooms):
+    for model in chain.from_iterable(target.models for target in targets):
         counts[model] = counts.get(model, 0) + 1
     return counts
 
 
-def _need_of(need: ModelNeed, replicas: Mapping[str, int]) -> float:
-    """Return the demand for each replica, infinite without one."""
+def _demand_per_replica(need: ModelNeed, replicas: Mapping[str, int]) -> float:
+    """Return the demand per replica, or infinity without replicas."""
     count = replicas.get(need.model, 0)
     return need.demand / count if count else float("inf")
 
@@ -129,49 +131,66 @@
     need: ModelNeed,
     needs: Mapping[str, ModelNeed],
     replicas: Mapping[str, int],
-    rooms: Mapping[str, Room],
+    targets: Mapping[str, PlacementTarget],
 ) -> Move | None:
-    without = [room for room in rooms.values() if need.model not in room.models]
-    free = [room for room in without if len(room.models) < room.places]
-    zones = [room.zone for room in rooms.values() if need.model in room.models]
-    if free:
-        return Move(min(free, key=lambda room: _rank(room, zones)), need.model, None)
-    gain = need.demand / (replicas.get(need.model, 0) + 1)
+    without_model = [
+        target for target in targets.values() if need.model not in target.models
+    ]
+    with_capacity = [
+        target for target in without_model if len(target.models) < target.max_models
+    ]
+    zones = [target.zone for target in targets.values() if need.model in target.models]
+    if with_capacity:
+        return Move(
+            min(with_capacity, key=lambda target: _rank(target, zones)),
+            need.model,
+            None,
+        )
+    gained_demand = need.demand / (replicas.get(need.model, 0) + 1)
     swaps = [
-        (_loss(model, needs, replicas), _rank(room, zones), model, room)
-        for room in without
-        for model in room.models
+        (
+            _demand_after_removal(model, needs, replicas),
+            _rank(target, zones),
+            model,
+            target,
+        )
+        for target in without_model
+        for model in target.models
     ]
     if not swaps:
         return None
-    loss, _, model, room = min(swaps, key=lambda swap: swap[:3])
-    if need.model not in replicas and loss < float("inf"):
-        return Move(room, need.model, model)
-    return Move(room, need.model, model) if gain > WORTHWHILE * loss else None
+    lost_demand, _, model, target = min(swaps, key=lambda swap: swap[:3])
+    if need.model not in replicas and lost_demand < float("inf"):
+        return Move(target, need.model, model)
+    return (
+        Move(target, need.model, model)
+        if gained_demand > MIN_GAIN_RATIO * lost_demand
+        else None
+    )
 
 
-def _rank(room: Room, zones: list[str]) -> tuple[int, int, str]:
-    """Prefer a zone with fewer replicas of the model, then an emptier endpoint."""
-    return zones.count(room.zone), len(room.models), room.endpoint
+def _rank(target: PlacementTarget, zones: list[str]) -> tuple[int, int, str]:
+    """Prefer zones with fewer replicas of the model, then emptier endpoints."""
+    return zones.count(target.zone), len(target.models), target.endpoint
 
 
-def _loss(
+def _demand_after_removal(
     model: str, needs: Mapping[str, ModelNeed], replicas: Mapping[str, int]
 ) -> float:
-    """Return the demand for each replica that is left after one has gone."""
+    """Return the demand per replica after one replica is removed."""
     if model not in needs:
         return 0.0
     count = replicas[model]
     return needs[model].demand / (count - 1) if count > 1 else float("inf")
 
 
-def _moved(move: Move) -> Room:
-    kept = (model for model in move.room.models if model != move.replaced)
-    return move.room._replace(models=(*kept, move.model))
+def _with_move(move: Move) -> PlacementTarget:
+    kept = (model for model in move.target.models if model != move.replaced)
+    return move.target._replace(models=(*kept, move.model))
 
 
 def _orders(move: Move) -> tuple[PlacementOrder, ...]:
-    load = LoadModel(move.room.endpoint, move.model)
+    load = LoadModel(move.target.endpoint, move.model)
     if move.replaced is None:
         return (load,)
-    return UnloadModel(move.room.endpoint, move.replaced), load
+    return UnloadModel(move.target.endpoint, move.replaced), load
--- a/libs/routing/src/clementinebend_routing/sessions.py
+++ b/libs/routing/src/clementinebend_routing/sessions.py
@@ -1,9 +1,9 @@
-"""What is known of prompts: their sessions, and which endpoint keeps which parts.
+"""Sessions of prompts, and the prompt parts that each endpoint has cached.
 
-All entries rank the endpoints of a session alike, by highest random weight over the
-deepest part of the prompt that comes again. Parts that an endpoint lacks are fetched
-from one that keeps them: that halved the parts read again, from 0.0355 to 0.0179 of
-what was owed on a day with a release.
+All entries rank the endpoints of a session in the same order, by rendezvous hashing of
+the deepest prompt part that recurs. Parts that an endpoint lacks are fetched from an
+endpoint that has them. On a day with a release this halved the parts that were
+prefilled again, from 0.0355 to 0.0179 of all owed tokens.
 """
 
 from collections import OrderedDict
@@ -11,84 +11,85 @@
 from itertools import accumulate
 from typing import NamedTuple
 
-PARTS_REMEMBERED = 20_000
-"""Prompt parts remembered to learn which come again; at most some 2 MB."""
+MAX_SEEN_PARTS = 20_000
+"""Maximum number of prompt parts kept to learn which of them recur; about 2 MB."""
 
-CACHED_PARTS = 4_000
-"""Parts believed to be in one engine's cache."""
+MAX_CACHED_PARTS = 4_000
+"""Maximum number of prompt parts tracked as cached by one engine."""
 
-LEAST_FETCHED = 64
-"""Tokens that a fetch from another engine must spare: setting up a transfer takes
-an engine about as long as reading twice as many."""
+MIN_FETCH_TOKENS = 64
+"""Minimum number of tokens that a fetch from another engine must save. Setting up a
+transfer takes an engine about as long as prefilling twice as many."""
 
 
 class PromptPart(NamedTuple):
-    """One part of a prompt: its name, and its length in tokens."""
+    """A part of a prompt: its name and its length in tokens."""
 
     name: str
     tokens: int
 
 
-class SessionMemory:
-    """Which parts have come before, and which each engine has been sent."""
+class SessionTracker:
+    """Tracks which prompt parts were seen, and which each engine has prefilled."""
 
     def __init__(self) -> None:
         self.seen: OrderedDict[str, None] = OrderedDict()
         self.cached: dict[str, OrderedDict[str, None]] = {}
 
     def session_of(self, parts: Sequence[PromptPart]) -> str:
-        """Return the name that a session's requests share.
+        """Return the name shared by the requests of a session.
 
-        The last part is the request's own or its session's: it names the
-        session if it has come before, else the part before it does.
+        The last part belongs either to the request alone or to its session. If it was
+        seen before, it names the session, otherwise the part before it does.
         """
         if not parts:
             return ""
         last = parts[-1].name
         return last if last in self.seen else parts[max(0, len(parts) - 2)].name
 
-    def remember(self, parts: Sequence[PromptPart]) -> None:
-        """Note the parts of a prompt that has come."""
-        _touch(self.seen, (part.name for part in parts), PARTS_REMEMBERED)
+    def record_prompt(self, parts: Sequence[PromptPart]) -> None:
+        """Record the parts of a prompt as seen."""
+        _touch(self.seen, (part.name for part in parts), MAX_SEEN_PARTS)
 
     def uncached(self, endpoint: str, parts: Sequence[PromptPart]) -> int:
-        """Return the tokens of a prompt that ``endpoint`` has not been sent."""
+        """Return the number of tokens of a prompt not cached at ``endpoint``."""
         return uncached_tokens(self.cached.get(endpoint, ()), parts)
 
-    def was_read(self, endpoint: str, parts: Sequence[PromptPart]) -> None:
-        """Note that ``endpoint`` has read a prompt."""
+    def record_prefill(self, endpoint: str, parts: Sequence[PromptPart]) -> None:
+        """Record that ``endpoint`` has prefilled a prompt."""
         cached = self.cached.setdefault(endpoint, OrderedDict())
-        _touch(cached, (part.name for part in parts), CACHED_PARTS)
+        _touch(cached, (part.name for part in parts), MAX_CACHED_PARTS)
 
-    def forget(self, endpoint: str) -> None:
-        """Forget the cache of an endpoint that is gone."""
+    def remove_endpoint(self, endpoint: str) -> None:
+        """Drop the cached parts of an endpoint that no longer exists."""
         self.cached.pop(endpoint, None)
 
 
 def best_source(unread: int, others: Mapping[str, int]) -> str | None:
-    """Return which of ``others`` keeps most of what an endpoint lacks of a prompt.
+    """Return the endpoint of ``others`` that has most of a prompt's missing parts.
 
-    Given are the tokens that each would have to read, ``unread`` here. None if none
-    keeps enough more for a transfer to be worth its setup.
+    ``others`` maps endpoints to the tokens that each would have to prefill; ``unread``
+    is that number at the endpoint that fetches. Returns None if no endpoint saves
+    enough tokens to be worth the setup of a transfer.
     """
     kept = ((unread - tokens, name) for name, tokens in others.items())
-    gain, name = max(kept, default=(0, ""))
-    return name if gain >= LEAST_FETCHED else None
+    tokens_saved, name = max(kept, default=(0, ""))
+    return name if tokens_saved >= MIN_FETCH_TOKENS else None
 
 
 def uncached_tokens(cached: Container[str], parts: Sequence[PromptPart]) -> int:
-    """Return the tokens of a prompt from its first part on that is not ``cached``."""
+    """Return the tokens of a prompt from its first part not in ``cached`` on."""
     lengths = [0, *accumulate(part.tokens for part in parts)]
-    hit = next(
-        (place for place, part in enumerate(parts) if part.name not in cached),
+    cached_count = next(
+        (index for index, part in enumerate(parts) if part.name not in cached),
         len(parts),
     )
-    return lengths[-1] - lengths[hit]
+    return lengths[-1] - lengths[cached_count]
 
 
-def _touch(memory: OrderedDict[str, None], names: Iterable[str], limit: int) -> None:
+def _touch(lru: OrderedDict[str, None], names: Iterable[str], limit: int) -> None:
     for name in names:
-        memory[name] = None
-        memory.move_to_end(name)
-    while len(memory) > limit:
-        memory.popitem(last=False)
+        lru[name] = None
+        lru.move_to_end(name)
+    while len(lru) > limit:
+        lru.popitem(last=False)
--- a/tests/unit/relay/test_peers.py
+++ b/tests/unit/relay/test_peers.py
@@ -7,7 +7,7 @@
 
 from clementinebend_ledger.quota_requests import TokenRequest
 from clementinebend_ledger.quota_transfers import Transfer
-from clementinebend_membership.suspicion import ANSWER_SECONDS, MOST_UNANSWERED
+from clementinebend_membership.suspicion import ANSWER_TIMEOUT, MAX_UNANSWERED
 from clementinebend_records.identifiers import new_incarnation
 from clementinebend_relay.budgets import Budgets
 from clementinebend_relay.discovery import Announcement, Directory
@@ -116,9 +116,9 @@
     order = probe.homes._order(0)
     outside = next(n for n in range(40) if f"entry-{n}" not in order)
     peers, _ = make_peers(clock, outside, 40)
-    for _ in range(MOST_UNANSWERED):
+    for _ in range(MAX_UNANSWERED):
         peers.ask(order[0], TEAM, TokenRequest(5))
-        clock.now += 1.5 * ANSWER_SECONDS
+        clock.now += 1.5 * ANSWER_TIMEOUT
     clock.now += 0.1
     assert peers.home_of(0) == order[1]
     no_home = TransferMessage(
