--- a/tests/unit/platform/test_http_protocol.py
+++ b/tests/unit/platform/test_http_protocol.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from clementinebend_platform.http_protocol import STATUSES, PlatformProtocol
+from clementinebend_platform.http_protocol import REJECTION_STATUSES, PlatformProtocol
 from clementinebend_relay.interfaces import Dispatch, Notice, Verdict
 from clementinebend_relay.models import Call, Endpoint, Reason, Rejection
 from clementinebend_routing.sessions import PromptPart
@@ -127,14 +127,14 @@
 @pytest.mark.parametrize("reason", list(Reason))
 def test_each_rejection_has_a_status(reason: Reason) -> None:
     response = PROTOCOL.rejection_response(Rejection(reason, "why", 0.25), "r1")
-    assert response.status == STATUSES[reason]
+    assert response.status == REJECTION_STATUSES[reason]
     assert ("retry-after", "0.250") in response.headers
     assert not any(name == "x-response-signature" for name, _ in response.headers)
 
 
 def test_only_what_has_not_run_is_told_so() -> None:
     unsure = (Reason.MAY_HAVE_RUN, Reason.TIMEOUT_MAY_HAVE_RUN)
-    assert not {STATUSES[reason] for reason in unsure} & {408, 421, 429, 503}
+    assert not {REJECTION_STATUSES[reason] for reason in unsure} & {408, 421, 429, 503}
 
 
 def test_what_an_answer_says_about_its_engine_is_decoded() -> None:
