--- a/tests/lib/platform_store.py
+++ b/tests/lib/platform_store.py
@@ -8,8 +8,8 @@
 
 from msgspec.json import encode
 
-from clementinebend_platform.store import LENGTH, LIMITS
-from clementinebend_platform.store import encoded as encoded_record
+from clementinebend_platform.store import PAGE_HEADER, RECORD_LENGTH
+from clementinebend_platform.store import encode_record as encoded_record
 from clementinebend_transport.http_server import HttpServer, serve_http
 from clementinebend_transport.http_types import Request, Response
 
@@ -100,7 +100,7 @@
             return Response(412, (), encode({"end_offset": len(records)}))
         offset = len(records)
         while body:
-            (length,) = LENGTH.unpack_from(body)
+            (length,) = RECORD_LENGTH.unpack_from(body)
             content, body = body[4 : 4 + length], body[4 + length :]
             end = 1 + content[0]
             records.append((content[1:end].decode(), content[end:]))
@@ -123,7 +123,7 @@
                 while len(records) <= offset:
                     await self.changed.wait()
         self.waiting_since.pop(query["topic"], None)
-        body = LIMITS.pack(len(records), first)
+        body = PAGE_HEADER.pack(len(records), first)
         body += b"".join(encoded_record(*record) for record in records[offset:])
         return Response(200, (), body)
 
