--- a/tests/unit/platform/test_worth.py
+++ b/tests/unit/platform/test_worth.py
@@ -43,4 +43,4 @@
 
 def test_what_is_no_report_is_told(tmp_path: Path) -> None:
     assert "cannot be read" in read_report(tmp_path / "none.json").error
-    assert "no report" in read_report(write(tmp_path, parts="none")).error
+    assert "not a report" in read_report(write(tmp_path, parts="none")).error
