--- a/tests/unit/platform/test_worth_logs.py
+++ b/tests/unit/platform/test_worth_logs.py
@@ -4,7 +4,7 @@
 
 from msgspec.json import encode
 
-from clementinebend_platform.worth_logs import read_lines, refusals
+from clementinebend_platform.worth_logs import count_rejections, read_lines
 
 
 def budget(**fields: object) -> dict[str, object]:
@@ -30,7 +30,7 @@
     log = tmp_path / "day.log"
     rows = [f"  3.1000 edge-a-1 {encode(row).decode()}" for row in ROWS]
     log.write_text("\n".join(["built in 1 s", *rows, "{not a line"]))
-    assert refusals(read_lines(log).ok) == {
+    assert count_rejections(read_lines(log).ok) == {
         "budget, not at hand in time": 1,
         "budget, spent by our count": 2,
         "budget, uncertain after a death": 1,
