--- a/tests/unit/platform/test_worth_logs.py
+++ b/tests/unit/platform/test_worth_logs.py
@@ -1,4 +1,4 @@
-"""Why calls were turned away, read from the output of a played day."""
+"""Causes of rejected calls, read from the output of a run."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 
 def budget(**fields: object) -> dict[str, object]:
-    """Return a refusal for budget; by default too little was at hand in time."""
+    """Return a budget refusal; by default too little was reserved in time."""
     usual = {"amount": 100, "left": 500, "uncertain": 0, "age_s": 0.1}
     return {"message": "budget refused", "is_spent": False, **usual, **fields}
 
@@ -31,10 +31,10 @@
     rows = [f"  3.1000 edge-a-1 {encode(row).decode()}" for row in ROWS]
     log.write_text("\n".join(["built in 1 s", *rows, "{not a line"]))
     assert count_rejections(read_lines(log).ok) == {
-        "budget, not at hand in time": 1,
-        "budget, spent by our count": 2,
-        "budget, uncertain after a death": 1,
-        "budget, store away": 1,
+        "budget, not reserved in time": 1,
+        "budget, spent by the entry's count": 2,
+        "budget, uncertain after a crash": 1,
+        "budget, store unavailable": 1,
         "budget, no marks read yet": 1,
         "overloaded": 1,
     }
