--- a/tests/unit/platform/test_boundary.py
+++ b/tests/unit/platform/test_boundary.py
@@ -25,40 +25,40 @@
     "api_keys",
 )
 
-DECIDING = ("ledger", "admission.queue", "routing.choice", "membership")
+DECISION_LIBRARIES = ("ledger", "admission.queue", "routing.choice", "membership")
 """Libraries that decide; the adapter may only name their types."""
 
 
 @pytest.mark.parametrize("word", WIRE_WORDS)
-def test_the_wire_is_named_in_the_adapter_only(word: str) -> None:
-    wrong = [
+def test_wire_names_appear_only_in_adapter(word: str) -> None:
+    violations = [
         str(path.relative_to(ROOT))
         for path in SOURCES
         if word in path.read_text(encoding="utf-8").lower()
     ]
-    assert not wrong
+    assert not violations
 
 
-def test_the_adapter_imports_no_decisions() -> None:
+def test_adapter_imports_no_decision_libraries() -> None:
     names = {
         node.module
         for path in ADAPTER.glob("*.py")
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))
         if isinstance(node, ast.ImportFrom) and node.module
     }
-    wrong = {
+    violations = {
         name
         for name in names
-        for decision in DECIDING
+        for decision in DECISION_LIBRARIES
         if name.startswith(f"clementinebend_{decision}")
     }
-    assert not wrong
+    assert not violations
 
 
-def test_nothing_but_the_adapter_imports_the_adapter() -> None:
-    wrong = [
+def test_libraries_do_not_import_adapter() -> None:
+    violations = [
         str(path.relative_to(ROOT))
         for path in SOURCES
         if "clementinebend_platform." in path.read_text(encoding="utf-8")
     ]
-    assert not wrong
+    assert not violations
