--- a/tests/unit/platform/test_boundary.py
+++ b/tests/unit/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its adapter, and the adapter decides nothing."""
+"""The wire names stay in the platform adapter, and the adapter makes no decisions."""
 
 import ast
 from pathlib import Path
@@ -26,7 +26,7 @@
 )
 
 DECISION_LIBRARIES = ("ledger", "admission.queue", "routing.choice", "membership")
-"""Libraries that decide; the adapter may only name their types."""
+"""Packages and modules that make decisions; the adapter must not import them."""
 
 
 @pytest.mark.parametrize("word", WIRE_WORDS)
