--- a/tests/unit/platform/test_http_protocol.py
+++ b/tests/unit/platform/test_http_protocol.py
@@ -25,39 +25,42 @@
 }
 
 
-def read(**changes: str | None) -> Call | Rejection:
-    named = {name.replace("_", "-"): value for name, value in changes.items()}
-    merged = {**HEADERS, **named}
+def decode_request(**changes: str | None) -> Call | Rejection:
+    header_changes = {name.replace("_", "-"): value for name, value in changes.items()}
+    merged = {**HEADERS, **header_changes}
     headers = {name: value for name, value in merged.items() if value is not None}
     return PROTOCOL.read_call(Request("POST", "/a/b?c", headers, b"{}"))
 
 
-def call(**changes: str | None) -> Call:
-    outcome = read(**changes)
+def valid_call(**changes: str | None) -> Call:
+    outcome = decode_request(**changes)
     assert isinstance(outcome, Call)
     return outcome
 
 
-def sent(made: Call, **changes: Any) -> dict[str, str]:
+def sent_headers(call: Call, **changes: Any) -> dict[str, str]:
     dispatch = Dispatch(ENDPOINT, "desk", 1.25, 2, None)._replace(**changes)
-    head = PROTOCOL.endpoint_request(made, dispatch)
+    head = PROTOCOL.endpoint_request(call, dispatch)
     return {name.decode(): value.decode() for name, value in head.headers}
 
 
 def test_parts_of_a_prompt_are_fetched_only_as_told() -> None:
-    made = call(kv_fetch="10.6.6.6:1")
-    assert "kv-fetch" not in sent(made)
-    assert sent(made, fetch_from=Address("10.0.0.2", 81))["kv-fetch"] == "10.0.0.2:81"
+    call = valid_call(kv_fetch="10.6.6.6:1")
+    assert "kv-fetch" not in sent_headers(call)
+    assert (
+        sent_headers(call, fetch_from=Address("10.0.0.2", 81))["kv-fetch"]
+        == "10.0.0.2:81"
+    )
 
 
 def test_a_call_is_decoded() -> None:
-    made = call()
-    assert made.path == "/a/b"
-    assert made.host == "desk.example"
-    assert made.key == "secret"
-    assert made.time_limit == 1.5
-    assert made.most_tokens == 1540
-    assert made.parts[1] == PromptPart("91bd3f06", 410)
+    call = valid_call()
+    assert call.path == "/a/b"
+    assert call.host == "desk.example"
+    assert call.key == "secret"
+    assert call.time_limit == 1.5
+    assert call.most_tokens == 1540
+    assert call.parts[1] == PromptPart("91bd3f06", 410)
 
 
 @pytest.mark.parametrize(
@@ -69,13 +72,13 @@
     ],
 )
 def test_a_call_that_cannot_be_read_is_malformed(changes: dict[str, str]) -> None:
-    outcome = read(**changes)
+    outcome = decode_request(**changes)
     assert isinstance(outcome, Rejection)
     assert outcome.reason is Reason.MALFORMED
 
 
 def test_the_endpoint_gets_what_the_system_sets() -> None:
-    headers = sent(call())
+    headers = sent_headers(valid_call())
     assert headers["x-expect-instance"] == "i-1"
     assert headers["x-tenant"] == "desk"
     assert headers["x-deadline-ms"] == "1250"
@@ -88,40 +91,42 @@
     "name", ["x-tenant", "x-hold", "x-pin-ms", "x-kv-backup", "kv-from", "kv-fetch"]
 )
 def test_what_only_the_system_sets_is_not_taken_from_a_caller(name: str) -> None:
-    headers = sent(call(**{name.replace("-", "_"): "forged"}), team=None)
+    headers = sent_headers(valid_call(**{name.replace("-", "_"): "forged"}), team=None)
     assert name not in headers
 
 
 def test_headers_of_one_connection_are_not_passed_on() -> None:
-    headers = sent(call(connection="X-Local, keep-alive", x_local="1", te="gzip"))
+    headers = sent_headers(
+        valid_call(connection="X-Local, keep-alive", x_local="1", te="gzip")
+    )
     assert not {"connection", "x-local", "te"} & set(headers)
 
 
 def test_a_stream_is_resumed_after_the_last_event_that_was_passed_on() -> None:
-    made = call(last_event_id="12")
-    assert made.last_event == "12"
-    assert sent(made, resume_after="17")["last-event-id"] == "17"
+    call = valid_call(last_event_id="12")
+    assert call.last_event == "12"
+    assert sent_headers(call, resume_after="17")["last-event-id"] == "17"
 
 
-SIGNED = {"x-request-id": "r1", "x-response-signature": "s"}
+SIGNED_HEADERS = {"x-request-id": "r1", "x-response-signature": "s"}
 
 
 @pytest.mark.parametrize(
     ("status", "headers", "verdict"),
     [
-        (200, SIGNED, Verdict.SUCCESS),
+        (200, SIGNED_HEADERS, Verdict.SUCCESS),
         (200, {"x-request-id": "r1"}, Verdict.FOREIGN),
-        (200, {**SIGNED, "x-request-id": "r0"}, Verdict.FOREIGN),
+        (200, {**SIGNED_HEADERS, "x-request-id": "r0"}, Verdict.FOREIGN),
         (503, {"x-not-executed": "1"}, Verdict.NOT_RUN),
         (503, {}, Verdict.FAILED),
-        (500, SIGNED, Verdict.FAILED),
+        (500, SIGNED_HEADERS, Verdict.FAILED),
         (421, {}, Verdict.WRONG_ENDPOINT),
     ],
 )
 def test_answers_are_judged(
     status: int, headers: dict[str, str], verdict: Verdict
 ) -> None:
-    assert PROTOCOL.judge(call(), status, headers) is verdict
+    assert PROTOCOL.judge(valid_call(), status, headers) is verdict
 
 
 @pytest.mark.parametrize("reason", list(Reason))
@@ -133,8 +138,13 @@
 
 
 def test_only_what_has_not_run_is_told_so() -> None:
-    unsure = (Reason.MAY_HAVE_RUN, Reason.TIMEOUT_MAY_HAVE_RUN)
-    assert not {REJECTION_STATUSES[reason] for reason in unsure} & {408, 421, 429, 503}
+    uncertain_reasons = (Reason.MAY_HAVE_RUN, Reason.TIMEOUT_MAY_HAVE_RUN)
+    assert not {REJECTION_STATUSES[reason] for reason in uncertain_reasons} & {
+        408,
+        421,
+        429,
+        503,
+    }
 
 
 def test_what_an_answer_says_about_its_engine_is_decoded() -> None:
