--- a/tests/unit/platform/test_http_protocol.py
+++ b/tests/unit/platform/test_http_protocol.py
@@ -44,7 +44,7 @@
     return {name.decode(): value.decode() for name, value in head.headers}
 
 
-def test_parts_of_a_prompt_are_fetched_only_as_told() -> None:
+def test_prompt_parts_are_fetched_only_as_dispatched() -> None:
     call = valid_call(kv_fetch="10.6.6.6:1")
     assert "kv-fetch" not in sent_headers(call)
     assert (
@@ -77,7 +77,7 @@
     assert outcome.reason is Reason.MALFORMED
 
 
-def test_the_endpoint_gets_what_the_system_sets() -> None:
+def test_endpoint_gets_system_headers() -> None:
     headers = sent_headers(valid_call())
     assert headers["x-expect-instance"] == "i-1"
     assert headers["x-tenant"] == "desk"
@@ -90,19 +90,19 @@
 @pytest.mark.parametrize(
     "name", ["x-tenant", "x-hold", "x-pin-ms", "x-kv-backup", "kv-from", "kv-fetch"]
 )
-def test_what_only_the_system_sets_is_not_taken_from_a_caller(name: str) -> None:
+def test_system_headers_of_a_caller_are_dropped(name: str) -> None:
     headers = sent_headers(valid_call(**{name.replace("-", "_"): "forged"}), team=None)
     assert name not in headers
 
 
-def test_headers_of_one_connection_are_not_passed_on() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     headers = sent_headers(
         valid_call(connection="X-Local, keep-alive", x_local="1", te="gzip")
     )
     assert not {"connection", "x-local", "te"} & set(headers)
 
 
-def test_a_stream_is_resumed_after_the_last_event_that_was_passed_on() -> None:
+def test_stream_is_resumed_after_last_forwarded_event() -> None:
     call = valid_call(last_event_id="12")
     assert call.last_event == "12"
     assert sent_headers(call, resume_after="17")["last-event-id"] == "17"
@@ -123,7 +123,7 @@
         (421, {}, Verdict.WRONG_ENDPOINT),
     ],
 )
-def test_answers_are_judged(
+def test_answers_are_classified(
     status: int, headers: dict[str, str], verdict: Verdict
 ) -> None:
     assert PROTOCOL.judge(valid_call(), status, headers) is verdict
@@ -137,7 +137,7 @@
     assert not any(name == "x-response-signature" for name, _ in response.headers)
 
 
-def test_only_what_has_not_run_is_told_so() -> None:
+def test_uncertain_reasons_have_no_not_run_status() -> None:
     uncertain_reasons = (Reason.MAY_HAVE_RUN, Reason.TIMEOUT_MAY_HAVE_RUN)
     assert not {REJECTION_STATUSES[reason] for reason in uncertain_reasons} & {
         408,
@@ -147,7 +147,7 @@
     }
 
 
-def test_what_an_answer_says_about_its_engine_is_decoded() -> None:
+def test_engine_notice_is_decoded() -> None:
     notice = PROTOCOL.notice
     assert notice(200, {}) == Notice()
     assert notice(200, {"server-leaving": "1"}) == Notice(is_leaving=True)
