--- a/tests/unit/platform/test_http_protocol.py
+++ b/tests/unit/platform/test_http_protocol.py
@@ -1,4 +1,4 @@
-"""Headers and statuses at the platform's boundary."""
+"""Translation of HTTP headers and statuses in the platform adapter."""
 
 from typing import Any
 
