--- a/tests/unit/platform/test_records.py
+++ b/tests/unit/platform/test_records.py
@@ -75,61 +75,61 @@
 
 
 def configuration(**changes: object) -> Configuration:
-    made = RECORDS.configuration(encode({**DOCUMENT, **changes}))
-    assert isinstance(made, Configuration)
-    return made
+    decoded = RECORDS.configuration(encode({**DOCUMENT, **changes}))
+    assert isinstance(decoded, Configuration)
+    return decoded
 
 
 def test_a_configuration_is_decoded() -> None:
-    made = configuration()
-    route = made.routes["desk.example"]["/a/"]
+    decoded = configuration()
+    route = decoded.routes["desk.example"]["/a/"]
     assert route.kind is RouteKind.STREAM
     assert route.may_repeat
     assert route.timeout == 4.0
     assert [share.service for share in route.services] == ["pool", "spare"]
-    assert made.keys == {"k1": "desk", "k2": "desk"}
-    assert made.teams["desk"].prepaid == 100
-    assert made.services["pool"].event_tokens == 3
-    assert made.limits.idle_timeout == 15.0
+    assert decoded.keys == {"k1": "desk", "k2": "desk"}
+    assert decoded.teams["desk"].prepaid == 100
+    assert decoded.services["pool"].event_tokens == 3
+    assert decoded.limits.idle_timeout == 15.0
 
 
 def test_without_teams_no_route_needs_a_key() -> None:
     assert configuration().routes["desk.example"]["/a/"].needs_key
-    made = configuration(tenants=None)
-    assert not made.routes["desk.example"]["/a/"].needs_key
+    decoded = configuration(tenants=None)
+    assert not decoded.routes["desk.example"]["/a/"].needs_key
 
 
-def test_an_unknown_kind_is_never_repeated() -> None:
-    made = configuration(routes=[{**ROUTE, "kind": "novel"}])
-    assert not made.routes["desk.example"]["/a/"].may_repeat
+def test_route_of_unknown_kind_is_never_retried() -> None:
+    decoded = configuration(routes=[{**ROUTE, "kind": "novel"}])
+    assert not decoded.routes["desk.example"]["/a/"].may_repeat
 
 
 def test_an_endpoint_is_decoded() -> None:
-    made = RECORDS.endpoint("i-1", encode(SERVER))
-    assert isinstance(made, Endpoint)
-    assert made.is_leaving
-    assert made.address == ("10.0.0.9", 8080)
-    assert made.boot == 1_764_728_376_000
+    decoded = RECORDS.endpoint("i-1", encode(SERVER))
+    assert isinstance(decoded, Endpoint)
+    assert decoded.is_leaving
+    assert decoded.address == ("10.0.0.9", 8080)
+    assert decoded.boot == 1_764_728_376_000
 
 
-def test_an_endpoint_need_not_say_when_it_started() -> None:
-    made = RECORDS.endpoint("i-1", encode(without(SERVER, "born")))
-    assert isinstance(made, Endpoint)
-    assert made.boot is None
+def test_endpoint_may_omit_its_start_time() -> None:
+    decoded = RECORDS.endpoint("i-1", encode(without(SERVER, "born")))
+    assert isinstance(decoded, Endpoint)
+    assert decoded.boot is None
 
 
 @mark.parametrize("name", [name for name in SERVER if name != "born"])
-def test_an_entry_without_a_field_names_no_endpoint(name: str) -> None:
+def test_record_without_a_field_is_unusable(name: str) -> None:
     assert isinstance(RECORDS.endpoint("i-1", encode(without(SERVER, name))), Unusable)
 
 
 @mark.parametrize("name", list(SERVER))
 @mark.parametrize("value", [None, True, [], {}, -1.5, "neither"])
-def test_a_field_of_another_type_names_no_endpoint(name: str, value: object) -> None:
+def test_field_of_wrong_type_is_unusable(name: str, value: object) -> None:
     if isinstance(value, str) and name in ("service", "zone", "version"):
         return
-    wrong = encode({**SERVER, name: value})
-    assert isinstance(RECORDS.endpoint("i-1", wrong), Unusable)
+    invalid = encode({**SERVER, name: value})
+    assert isinstance(RECORDS.endpoint("i-1", invalid), Unusable)
 
 
 @given(binary(max_size=200))
@@ -139,18 +139,18 @@
 
 @given(dictionaries(sampled_from(list(SERVER)), JSON_VALUES))
 def test_any_fields_give_an_endpoint_or_a_reason(fields: dict[str, object]) -> None:
-    made = RECORDS.endpoint("i-1", encode({**SERVER, **fields}))
-    if isinstance(made, Endpoint):
-        assert made.boot is None or type(made.boot) is int
-        assert type(made.slots) is int
-        assert all(part.isdecimal() for part in made.address.host.split("."))
+    decoded = RECORDS.endpoint("i-1", encode({**SERVER, **fields}))
+    if isinstance(decoded, Endpoint):
+        assert decoded.boot is None or type(decoded.boot) is int
+        assert type(decoded.slots) is int
+        assert all(part.isdecimal() for part in decoded.address.host.split("."))
 
 
-def test_what_cannot_be_decoded_is_told() -> None:
+def test_undecodable_records_are_unusable() -> None:
     assert isinstance(RECORDS.configuration(b"{"), Unusable)
     assert isinstance(RECORDS.endpoint("i-1", encode({"service": 1})), Unusable)
-    wrong = encode({**SERVER, "address": "nowhere"})
-    assert isinstance(RECORDS.endpoint("i-1", wrong), Unusable)
+    invalid = encode({**SERVER, "address": "nowhere"})
+    assert isinstance(RECORDS.endpoint("i-1", invalid), Unusable)
 
 
 def test_the_cold_time_and_rate_are_read() -> None:
