--- a/tests/unit/platform/test_records.py
+++ b/tests/unit/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Decoding of what the operator and the engines write."""
+"""Decoding of the records that the operator and the engines write."""
 
 from hypothesis import given
 from hypothesis.strategies import (
@@ -70,7 +70,7 @@
 
 
 def without(fields: dict[str, object], name: str) -> dict[str, object]:
-    """Return fields without one of them."""
+    """Return a copy of ``fields`` without the field ``name``."""
     return {key: value for key, value in fields.items() if key != name}
 
 
