--- a/tests/unit/platform/test_settings.py
+++ b/tests/unit/platform/test_settings.py
@@ -11,7 +11,7 @@
     load_settings,
 )
 
-GOOD = """
+VALID_SETTINGS = """
 node_name = "edge-1"
 ip = "10.1.0.40"
 zone = "a"
@@ -41,7 +41,7 @@
 
 
 def test_settings_are_read(tmp_path: Path) -> None:
-    settings = load(tmp_path, GOOD).ok
+    settings = load(tmp_path, VALID_SETTINGS).ok
     assert settings.relay.callers == ("10.1.0.40", 8227)
     assert settings.relay.peers == ("10.1.0.40", 7340)
     assert settings.metrics_port == 7355
@@ -50,14 +50,14 @@
     assert settings.relay.retries == (0.2, 56, 10)
 
 
-def test_a_gateway_needs_less(tmp_path: Path) -> None:
+def test_gateway_settings_are_read(tmp_path: Path) -> None:
     file = tmp_path / "local.toml"
-    file.write_text(GOOD)
+    file.write_text(VALID_SETTINGS)
     assert load_gateway_settings(str(file)).ok.address == ("10.1.0.40", 7340)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "expected_text"),
     [
         ('zone = "a"', "", "zone"),
         ("grace_s = 8", 'grace_s = "long"', "grace_s"),
@@ -65,15 +65,15 @@
         ("[limits]", "[limits", "TOML"),
     ],
 )
-def test_what_is_wrong_is_told_in_one_line(
-    tmp_path: Path, old: str, new: str, told: str
+def test_invalid_settings_give_a_one_line_error(
+    tmp_path: Path, old: str, new: str, expected_text: str
 ) -> None:
-    problem = load(tmp_path, GOOD.replace(old, new)).error
-    assert told in problem
+    problem = load(tmp_path, VALID_SETTINGS.replace(old, new)).error
+    assert expected_text in problem
     assert "local.toml" in problem
     assert "\n" not in problem
 
 
-def test_a_missing_file_is_told() -> None:
+def test_missing_file_is_an_error() -> None:
     assert "cannot be read" in load_settings("/nowhere/local.toml").error
     assert "CLEMENTINEBEND_SETTINGS" in load_settings("").error
