--- a/tests/unit/platform/test_settings.py
+++ b/tests/unit/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: what is wrong is told in one line."""
+"""The settings file of the platform: errors are reported in one line."""
 
 from pathlib import Path
 
