--- a/tests/unit/platform/test_store_pages.py
+++ b/tests/unit/platform/test_store_pages.py
@@ -12,40 +12,40 @@
 from tests.lib.platform_store import PAGE_KEYS, StoreStandin
 from tests.lib.waiting import until
 
-KEYS = 2 * PAGE_KEYS + 200
-WITHIN = 2.0
+KEY_COUNT = 2 * PAGE_KEYS + 200
+MAX_DELAY = 2.0
 
 
-class Table:
+class RecordTable:
     """Keeps the newest record of each key, and the keys of the last snapshot."""
 
     def __init__(self) -> None:
         self.records: dict[str, bytes] = {}
-        self.known: frozenset[str] = frozenset()
+        self.snapshot_keys: frozenset[str] = frozenset()
 
     def on_record(self, record: KeyedRecord) -> None:
         self.records[record.key] = record.value
 
     def on_snapshot(self, keys: frozenset[str], end: int) -> None:
-        self.known = keys
+        self.snapshot_keys = keys
 
 
-async def test_pages_are_kept_when_a_later_one_fails() -> None:
+async def test_pages_are_kept_when_a_later_page_fails() -> None:
     # Entries with slow links began the list of endpoints again at each page that
     # failed, so that where each second call failed they never had a whole one.
     store, client = StoreStandin(), HttpClient()
     await store.start()
-    for number in range(KEYS):
+    for number in range(KEY_COUNT):
         store.put("servers", f"e-{number:04}", b"old")
     store.fault = "uneven"
     clock = get_running_loop().time
     calls = StoreCalls(StorePaths(Address("127.0.0.1", store.port), clock), client)
-    table = Table()
+    table = RecordTable()
     log = PartitionLog(calls, "servers")
     partition_reader = create_task(
-        PartitionReader("endpoints", log, table, clock, WITHIN).run()
+        PartitionReader("endpoints", log, table, clock, MAX_DELAY).run()
     )
-    await until(lambda: len(table.known) == KEYS)
+    await until(lambda: len(table.snapshot_keys) == KEY_COUNT)
     store.put("servers", "e-0000", b"new")
     await until(lambda: table.records["e-0000"] == b"new")
     partition_reader.cancel()
