--- a/tests/unit/platform/test_store_pages.py
+++ b/tests/unit/platform/test_store_pages.py
@@ -1,4 +1,4 @@
-"""Partitions with more keys than one answer of the store holds."""
+"""Partitions whose keys need several pages of the store."""
 
 from asyncio import create_task, get_running_loop
 
@@ -31,8 +31,8 @@
 
 
 async def test_pages_are_kept_when_a_later_page_fails() -> None:
-    # Entries with slow links began the list of endpoints again at each page that
-    # failed, so that where each second call failed they never had a whole one.
+    # A reader that starts over after a failed page never completes the list of
+    # endpoints when every second call fails, as happened to entries on slow links.
     store, client = StoreStandin(), HttpClient()
     await store.start()
     for number in range(KEY_COUNT):
