--- a/tests/unit/platform/test_worth.py
+++ b/tests/unit/platform/test_worth.py
@@ -7,7 +7,7 @@
 
 from clementinebend_platform.worth import describe, losses, read_report, worst_windows
 
-DAY: dict[str, Any] = {
+REPORT: dict[str, Any] = {
     "G": 0.7,
     "fault": None,
     "breaks": {},
@@ -20,27 +20,27 @@
 }
 
 
-def write(folder: Path, **changes: object) -> Path:
+def write_report(folder: Path, **changes: object) -> Path:
     """Return the path of a report with some values changed."""
     path = folder / "report.json"
-    path.write_bytes(encode({**DAY, **changes}))
+    path.write_bytes(encode({**REPORT, **changes}))
     return path
 
 
-def test_losses_come_dearest_first(tmp_path: Path) -> None:
-    report = read_report(write(tmp_path)).ok
-    told = [(loss.cause, round(loss.worth, 3)) for loss in losses(report)]
-    assert told == [("worst class", 0.15), ("whole day", 0.04), ("calls", 0.02)]
+def test_losses_are_listed_largest_first(tmp_path: Path) -> None:
+    report = read_report(write_report(tmp_path)).ok
+    listed = [(loss.cause, round(loss.worth, 3)) for loss in losses(report)]
+    assert listed == [("worst class", 0.15), ("whole day", 0.04), ("calls", 0.02)]
     assert [window.name for window in worst_windows(report, 1)] == ["2"]
 
 
-def test_broken_rules_and_faults_are_told(tmp_path: Path) -> None:
-    broken = read_report(write(tmp_path, breaks={"BUDGET": 3})).ok
+def test_broken_rules_and_faults_are_described(tmp_path: Path) -> None:
+    broken = read_report(write_report(tmp_path, breaks={"BUDGET": 3})).ok
     assert "BUDGET" in describe(broken)
-    faulty = read_report(write(tmp_path, fault="a program did not start")).ok
+    faulty = read_report(write_report(tmp_path, fault="a program did not start")).ok
     assert "a program did not start" in describe(faulty)
 
 
-def test_what_is_no_report_is_told(tmp_path: Path) -> None:
+def test_invalid_report_is_an_error(tmp_path: Path) -> None:
     assert "cannot be read" in read_report(tmp_path / "none.json").error
-    assert "not a report" in read_report(write(tmp_path, parts="none")).error
+    assert "not a report" in read_report(write_report(tmp_path, parts="none")).error
