--- a/tests/unit/platform/test_worth.py
+++ b/tests/unit/platform/test_worth.py
@@ -1,4 +1,4 @@
-"""Where a played day lost its worth."""
+"""Analysis of where a simulated day lost score."""
 
 from pathlib import Path
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 def write_report(folder: Path, **changes: object) -> Path:
-    """Return the path of a report with some values changed."""
+    """Write a report with some values changed, and return its path."""
     path = folder / "report.json"
     path.write_bytes(encode({**REPORT, **changes}))
     return path
