--- a/tests/unit/platform/test_worth_logs.py
+++ b/tests/unit/platform/test_worth_logs.py
@@ -7,28 +7,28 @@
 from clementinebend_platform.worth_logs import count_rejections, read_lines
 
 
-def budget(**fields: object) -> dict[str, object]:
+def budget_refusal(**fields: object) -> dict[str, object]:
     """Return a budget refusal; by default too little was reserved in time."""
-    usual = {"amount": 100, "left": 500, "uncertain": 0, "age_s": 0.1}
-    return {"message": "budget refused", "is_spent": False, **usual, **fields}
+    defaults = {"amount": 100, "left": 500, "uncertain": 0, "age_s": 0.1}
+    return {"message": "budget refused", "is_spent": False, **defaults, **fields}
 
 
-ROWS = (
-    budget(),
-    budget(is_spent=True, left=0),
-    budget(left=20, uncertain=30),
-    budget(left=20, uncertain=300),
-    budget(age_s=2.0),
-    budget(left=None, uncertain=None, age_s=None),
+LOG_LINES = (
+    budget_refusal(),
+    budget_refusal(is_spent=True, left=0),
+    budget_refusal(left=20, uncertain=30),
+    budget_refusal(left=20, uncertain=300),
+    budget_refusal(age_s=2.0),
+    budget_refusal(left=None, uncertain=None, age_s=None),
     {"message": "call rejected", "reason": "overloaded"},
     {"message": "call rejected", "reason": "budget_busy"},
     {"message": "endpoint added"},
 )
 
 
-def test_refusals_are_told_by_cause(tmp_path: Path) -> None:
+def test_rejections_are_counted_by_cause(tmp_path: Path) -> None:
     log = tmp_path / "day.log"
-    rows = [f"  3.1000 edge-a-1 {encode(row).decode()}" for row in ROWS]
+    rows = [f"  3.1000 edge-a-1 {encode(row).decode()}" for row in LOG_LINES]
     log.write_text("\n".join(["built in 1 s", *rows, "{not a line"]))
     assert count_rejections(read_lines(log).ok) == {
         "budget, not reserved in time": 1,
@@ -40,5 +40,5 @@
     }
 
 
-def test_a_file_that_cannot_be_read_is_told(tmp_path: Path) -> None:
+def test_unreadable_file_is_an_error(tmp_path: Path) -> None:
     assert "cannot be read" in read_lines(tmp_path / "none").error
