--- a/tests/unit/platform/__init__.py
+++ b/tests/unit/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the platform adapter."""
+"""Tests of the platform adapter and its commands."""
