--- a/libs/relay/src/clementinebend_relay/handler.py
+++ b/libs/relay/src/clementinebend_relay/handler.py
@@ -24,15 +24,15 @@
 from clementinebend_relay.waiting_room import WaitingRoom
 from clementinebend_transport.http_types import Request, Response
 
-BUDGET_PAUSE = 0.5
+BUDGET_BUSY_RETRY_AFTER = 0.5
 """Seconds after which to come back when no budget is at hand."""
 
-OUTAGE_PAUSE = 2.0
+LOG_OUTAGE_RETRY_AFTER = 2.0
 """The same while the log is out of reach: outages last some 3 to 5 s, and a caller
 that comes back within one is refused again."""
 
 
-START_WAIT = 0.3
+STARTUP_WAIT = 0.3
 """Seconds that a call waits for the first configuration and endpoints: an entry
 has read them some 0.1 s after it can take calls, if the store answers."""
 
@@ -48,8 +48,8 @@
         dispatcher: Dispatcher,
         plain: PlainRelay,
         streams: StreamRelay,
-        room: WaitingRoom,
-        known: Event,
+        prompt_queue: WaitingRoom,
+        is_loaded: Event,
         clock: Callable[[], float],
     ) -> None:
         self.protocol = protocol
@@ -59,75 +59,79 @@
         self.quarantine = dispatcher.quarantine
         self.plain = plain
         self.streams = streams
-        self.room = room
-        self.known = known
+        self.prompt_queue = prompt_queue
+        self.is_loaded = is_loaded
         self.clock = clock
 
     async def handle(self, request: Request) -> Response:
         """Answer one request of a caller."""
-        arrived = self.clock()
+        arrived_at = self.clock()
         call = self.protocol.read_call(request)
         if isinstance(call, Rejection):
-            return self._reject(call, "", arrived)
-        await self._until_known()
+            return self._reject(call, "", arrived_at)
+        await self._wait_for_startup()
         admitted = admit(call, self.configuration.current)
         if isinstance(admitted, Rejection):
-            return self._reject(admitted, call.request_id, arrived)
+            return self._reject(admitted, call.request_id, arrived_at)
         refusal = self.quarantine.refusal(admitted.fingerprint)
         if refusal is not None:
-            return self._reject(refusal, call.request_id, arrived)
-        survey = await self.room.enter(admitted)
+            return self._reject(refusal, call.request_id, arrived_at)
+        survey = await self.prompt_queue.enter(admitted)
         if isinstance(survey, Rejection):
-            return self._reject(survey, call.request_id, arrived)
+            return self._reject(survey, call.request_id, arrived_at)
         reservation = await self._reserve(admitted)
         if isinstance(reservation, Rejection):
-            return self._reject(reservation, call.request_id, arrived)
-        progress = CallProgress(admitted, arrived + admitted.time_limit, survey)
-        return await self._run(progress, reservation, arrived)
+            return self._reject(reservation, call.request_id, arrived_at)
+        progress = CallProgress(admitted, arrived_at + admitted.time_limit, survey)
+        return await self._run(progress, reservation, arrived_at)
 
-    async def _until_known(self) -> None:
+    async def _wait_for_startup(self) -> None:
         """Wait a moment in a process that has just started."""
-        if self.known.is_set():
+        if self.is_loaded.is_set():
             return
         with suppress(TimeoutError):
-            async with timeout(START_WAIT):
-                await self.known.wait()
+            async with timeout(STARTUP_WAIT):
+                await self.is_loaded.wait()
 
     async def _reserve(self, admitted: Admitted) -> Reservation | Rejection:
-        team, most = admitted.team, admitted.call.most_tokens
-        longest_wait = admitted.time_limit / 2
-        wait = min(self.budgets.patience(), longest_wait)
-        outcome = await self.budgets.reserve(team, most, wait, longest_wait)
+        team, max_cost = admitted.team, admitted.call.most_tokens
+        max_wait = admitted.time_limit / 2
+        wait = min(self.budgets.patience(), max_wait)
+        outcome = await self.budgets.reserve(team, max_cost, wait, max_wait)
         if isinstance(outcome, Reservation):
             return outcome
-        return self._short(outcome, admitted)
+        return self._budget_rejection(outcome, admitted)
 
-    def _short(self, short: Short, admitted: Admitted) -> Rejection:
+    def _budget_rejection(self, shortage: Short, admitted: Admitted) -> Rejection:
         log_decision(
             "budget refused",
             request_id=admitted.call.request_id,
             team=admitted.team.name,
             amount=admitted.call.most_tokens,
-            left=short.left,
-            uncertain=short.uncertain,
-            age_s=None if short.age is None else round(short.age, 3),
-            is_spent=short.is_spent,
+            left=shortage.left,
+            uncertain=shortage.uncertain,
+            age_s=None if shortage.age is None else round(shortage.age, 3),
+            is_spent=shortage.is_spent,
         )
-        if short.is_spent:
+        if shortage.is_spent:
             return Rejection(Reason.BUDGET_SPENT, "the prepaid budget is spent")
         message = "no part of the budget is at hand"
-        pause = OUTAGE_PAUSE if self.budgets.is_log_away() else BUDGET_PAUSE
+        pause = (
+            LOG_OUTAGE_RETRY_AFTER
+            if self.budgets.is_log_away()
+            else BUDGET_BUSY_RETRY_AFTER
+        )
         return Rejection(Reason.BUDGET_BUSY, message, pause)
 
     async def _run(
-        self, progress: CallProgress, reservation: Reservation, arrived: float
+        self, progress: CallProgress, reservation: Reservation, arrived_at: float
     ) -> Response:
         admitted = progress.admitted
-        self.dispatcher.retry_window(admitted.service.name).on_request(arrived)
+        self.dispatcher.retry_window(admitted.service.name).on_request(arrived_at)
         is_stream = False
 
         def settle() -> None:
-            self._settle(progress, reservation, arrived)
+            self._settle(progress, reservation, arrived_at)
 
         try:
             response = await self._answer(progress, settle)
@@ -137,8 +141,10 @@
                 settle()
         if response is None:
             rejection = progress.rejection(self.clock())
-            return self._reject(rejection, admitted.call.request_id, arrived)
-        first_byte_seconds.labels(admitted.service.name).observe(self.clock() - arrived)
+            return self._reject(rejection, admitted.call.request_id, arrived_at)
+        first_byte_seconds.labels(admitted.service.name).observe(
+            self.clock() - arrived_at
+        )
         answered.labels(admitted.service.name, response.status).inc()
         return response
 
@@ -155,12 +161,12 @@
             return None
 
     def _settle(
-        self, progress: CallProgress, reservation: Reservation, arrived: float
+        self, progress: CallProgress, reservation: Reservation, arrived_at: float
     ) -> None:
         usage = progress.usage()
         self.budgets.settle(reservation, usage.tokens)
         admitted = progress.admitted
-        elapsed = self.clock() - arrived
+        elapsed = self.clock() - arrived_at
         whole_seconds.labels(admitted.service.name).observe(elapsed)
         log_decision(
             "call ended",
@@ -178,12 +184,12 @@
             ahead=round(progress.ahead),
             unread=progress.unread,
             reports=progress.reports,
-            first_event_s=_since(arrived, progress.first_event_at),
+            first_event_s=_seconds_between(arrived_at, progress.first_event_at),
             elapsed_s=round(elapsed, 4),
         )
 
     def _reject(
-        self, rejection: Rejection, request_id: str, arrived: float
+        self, rejection: Rejection, request_id: str, arrived_at: float
     ) -> Response:
         refused.labels(rejection.reason).inc()
         log_decision(
@@ -192,10 +198,10 @@
             reason=rejection.reason,
             message_text=rejection.message,
             retry_after_s=rejection.retry_after,
-            elapsed_s=round(self.clock() - arrived, 4),
+            elapsed_s=round(self.clock() - arrived_at, 4),
         )
         return self.protocol.rejection_response(rejection, request_id)
 
 
-def _since(start: float, end: float | None) -> float | None:
+def _seconds_between(start: float, end: float | None) -> float | None:
     return None if end is None else round(end - start, 4)
