--- a/libs/relay/src/clementinebend_relay/handler.py
+++ b/libs/relay/src/clementinebend_relay/handler.py
@@ -1,4 +1,4 @@
-"""The path of a call: admission, reservation, dispatch and relay, settlement."""
+"""Handles a call: admission, budget reservation, dispatch, relay and settlement."""
 
 from asyncio import Event, timeout, timeout_at
 from collections.abc import Callable
@@ -25,20 +25,23 @@
 from clementinebend_transport.http_types import Request, Response
 
 BUDGET_BUSY_RETRY_AFTER = 0.5
-"""Seconds after which to come back when no budget is at hand."""
+"""Retry-after delay in seconds when no budget can be reserved."""
 
 LOG_OUTAGE_RETRY_AFTER = 2.0
-"""The same while the log is out of reach: outages last some 3 to 5 s, and a caller
-that comes back within one is refused again."""
+"""Retry-after delay in seconds while the log is unreachable.
 
+Outages last 3 to 5 s, and a caller that retries during one is refused again.
+"""
 
 STARTUP_WAIT = 0.3
-"""Seconds that a call waits for the first configuration and endpoints: an entry
-has read them some 0.1 s after it can take calls, if the store answers."""
+"""Seconds that a call waits for the configuration and endpoints to be loaded.
+
+An entry loads them about 0.1 s after it starts to accept calls, if the store responds.
+"""
 
 
 class CallHandler:
-    """Answers callers' requests."""
+    """Handles requests from callers."""
 
     def __init__(
         self,
@@ -64,7 +67,7 @@
         self.clock = clock
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request of a caller."""
+        """Return the response to one request from a caller."""
         arrived_at = self.clock()
         call = self.protocol.read_call(request)
         if isinstance(call, Rejection):
@@ -86,7 +89,7 @@
         return await self._run(progress, reservation, arrived_at)
 
     async def _wait_for_startup(self) -> None:
-        """Wait a moment in a process that has just started."""
+        """Wait up to ``STARTUP_WAIT`` for the configuration and endpoints to load."""
         if self.is_loaded.is_set():
             return
         with suppress(TimeoutError):
