--- a/libs/relay/src/clementinebend_relay/admission.py
+++ b/libs/relay/src/clementinebend_relay/admission.py
@@ -15,11 +15,11 @@
     Team,
 )
 
-CONFIGURATION_WAIT = 0.5
+NO_CONFIGURATION_RETRY_AFTER = 0.5
 """Seconds after which a caller may ask again a process that knows no
 configuration yet: one reads it within about that time of its start."""
 
-NOBODY = Team("", None, None)
+ANONYMOUS_TEAM = Team("", None, None)
 """Who calls a route that needs no key."""
 
 
@@ -44,7 +44,7 @@
     """Return the terms on which ``call`` may go on, or why it may not."""
     if configuration is None:
         message = "this entry knows no configuration yet"
-        return Rejection(Reason.NO_CONFIGURATION, message, CONFIGURATION_WAIT)
+        return Rejection(Reason.NO_CONFIGURATION, message, NO_CONFIGURATION_RETRY_AFTER)
     route = find_route(configuration, call.host, call.path)
     if route is None:
         return Rejection(Reason.UNKNOWN_ROUTE, "no route leads there")
@@ -60,7 +60,7 @@
     limit = route.timeout
     if call.time_limit is not None:
         limit = min(limit, call.time_limit)
-    team = team or NOBODY
+    team = team or ANONYMOUS_TEAM
     fingerprint = fingerprint_of(call, team.name)
     version = configuration.version
     return Admitted(call, route, service, team, priority, limit, version, fingerprint)
@@ -71,9 +71,9 @@
     total = sum(share.weight for share in route.services)
     if total <= 0:
         return route.services[0].service if route.services else ""
-    place = crc32(request_id.encode()) / 2**32 * total
+    position = crc32(request_id.encode()) / 2**32 * total
     for share in route.services:
-        place -= share.weight
-        if place < 0:
+        position -= share.weight
+        if position < 0:
             return share.service
     return route.services[-1].service
