--- a/libs/relay/src/clementinebend_relay/handler.py
+++ b/libs/relay/src/clementinebend_relay/handler.py
@@ -97,7 +97,7 @@
                 await self.is_loaded.wait()
 
     async def _reserve(self, admitted: Admitted) -> Reservation | Rejection:
-        team, max_cost = admitted.team, admitted.call.most_tokens
+        team, max_cost = admitted.team, admitted.call.max_total_tokens
         max_wait = admitted.time_limit / 2
         wait = min(self.budgets.patience(), max_wait)
         outcome = await self.budgets.reserve(team, max_cost, wait, max_wait)
@@ -110,7 +110,7 @@
             "budget refused",
             request_id=admitted.call.request_id,
             team=admitted.team.name,
-            amount=admitted.call.most_tokens,
+            amount=admitted.call.max_total_tokens,
             left=shortage.left,
             uncertain=shortage.uncertain,
             age_s=None if shortage.age is None else round(shortage.age, 3),
--- a/libs/relay/src/clementinebend_relay/models.py
+++ b/libs/relay/src/clementinebend_relay/models.py
@@ -153,7 +153,7 @@
         return self.target.partition("?")[0]
 
     @property
-    def most_tokens(self) -> int:
+    def max_total_tokens(self) -> int:
         """The most that the call can cost."""
         return self.prompt_tokens + self.max_output_tokens
 
--- a/tests/unit/platform/test_http_protocol.py
+++ b/tests/unit/platform/test_http_protocol.py
@@ -56,7 +56,7 @@
     assert made.host == "desk.example"
     assert made.key == "secret"
     assert made.time_limit == 1.5
-    assert made.most_tokens == 1540
+    assert made.max_total_tokens == 1540
     assert made.parts[1] == PromptPart("91bd3f06", 410)
 
 
--- a/tests/unit/relay/test_progress.py
+++ b/tests/unit/relay/test_progress.py
@@ -29,7 +29,7 @@
 def test_a_whole_answer_without_events_costs_the_most() -> None:
     made = progress(RouteKind.IDEMPOTENT)
     made.is_whole = True
-    assert made.usage().tokens == CALL.most_tokens
+    assert made.usage().tokens == CALL.max_total_tokens
 
 
 @pytest.mark.parametrize(
