--- a/libs/relay/src/clementinebend_relay/admission.py
+++ b/libs/relay/src/clementinebend_relay/admission.py
@@ -1,4 +1,4 @@
-"""Whether a call is admitted: route, key, time limit. Pure."""
+"""Admission of a call: its route, API key and time limit. Pure functions."""
 
 from typing import NamedTuple
 from zlib import crc32
@@ -16,18 +16,21 @@
 )
 
 NO_CONFIGURATION_RETRY_AFTER = 0.5
-"""Seconds after which a caller may ask again a process that knows no
-configuration yet: one reads it within about that time of its start."""
+"""Retry-after delay in seconds of a process that has no configuration yet.
+
+A process loads its configuration within about that time after its start.
+"""
 
 ANONYMOUS_TEAM = Team("", None, None)
-"""Who calls a route that needs no key."""
+"""The team of a call without a key, on a route that needs none."""
 
 
 class Admitted(NamedTuple):
-    """A call that may go on, and on what terms.
+    """An admitted call with its route, service, team, priority and time limit.
 
-    ``time_limit`` (seconds) is the shorter of the caller's and the route's.
-    ``fingerprint`` is the same for all repetitions of a request.
+    ``time_limit`` is the caller's or the route's limit in seconds, whichever is
+    shorter. ``version`` is that of the configuration. ``fingerprint`` is the same
+    for all repetitions of a request.
     """
 
     call: Call
@@ -41,7 +44,7 @@
 
 
 def admit(call: Call, configuration: Configuration | None) -> Admitted | Rejection:
-    """Return the terms on which ``call`` may go on, or why it may not."""
+    """Return the admitted call, or why it is rejected."""
     if configuration is None:
         message = "this entry knows no configuration yet"
         return Rejection(Reason.NO_CONFIGURATION, message, NO_CONFIGURATION_RETRY_AFTER)
@@ -67,7 +70,10 @@
 
 
 def pick_service(route: Route, request_id: str) -> str:
-    """Return one of the route's services, by weight; the same for the same id."""
+    """Return one of the route's services, chosen by weight.
+
+    The choice is deterministic: the same request ID always gets the same service.
+    """
     total = sum(share.weight for share in route.services)
     if total <= 0:
         return route.services[0].service if route.services else ""
