--- a/libs/relay/src/clementinebend_relay/attempts.py
+++ b/libs/relay/src/clementinebend_relay/attempts.py
@@ -7,7 +7,12 @@
 
 from clementinebend_relay.bodies import read_body
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.dispatch import Dispatcher, Lost, NotSent, Opened
+from clementinebend_relay.dispatch import (
+    Dispatcher,
+    NotSent,
+    ResponseLost,
+    ResponseStarted,
+)
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.interfaces import Verdict
 from clementinebend_relay.metrics import broken_answers
@@ -167,7 +172,7 @@
 
     async def _send(
         self, progress: CallProgress, state: EndpointState
-    ) -> Opened | NotSent | Lost:
+    ) -> ResponseStarted | NotSent | ResponseLost:
         progress.attempts += 1
         progress.sent_at = self.clock()
         progress.attempt_event_at = None
@@ -188,7 +193,7 @@
         if isinstance(outcome, NotSent):
             progress.may_have_run = was_unsure
             progress.problem = outcome.problem
-        elif isinstance(outcome, Lost):
+        elif isinstance(outcome, ResponseLost):
             progress.problem = outcome.problem
             if outcome.broke_off:
                 self.on_broken(progress, state, outcome.problem)
@@ -207,10 +212,13 @@
         return now + (progress.deadline - now) * FIRST_PART
 
     async def _judge(
-        self, progress: CallProgress, outcome: Opened | Lost, hold: ExitStack
+        self,
+        progress: CallProgress,
+        outcome: ResponseStarted | ResponseLost,
+        hold: ExitStack,
     ) -> Running | None:
         """Return the attempt if its answer is to be relayed."""
-        if isinstance(outcome, Lost):
+        if isinstance(outcome, ResponseLost):
             return None
         name = outcome.state.endpoint.name
         call = progress.admitted.call
@@ -252,8 +260,8 @@
         return Response(answer.status, headers, body.ok)
 
 
-def _is_unserved(outcome: Opened | NotSent | Lost) -> bool:
+def _is_unserved(outcome: ResponseStarted | NotSent | ResponseLost) -> bool:
     """Tell whether the endpoint was not there to take the call."""
-    if isinstance(outcome, Opened):
+    if isinstance(outcome, ResponseStarted):
         return outcome.verdict is Verdict.WRONG_ENDPOINT
     return isinstance(outcome, NotSent)
--- a/libs/relay/src/clementinebend_relay/dispatch.py
+++ b/libs/relay/src/clementinebend_relay/dispatch.py
@@ -30,16 +30,16 @@
 from clementinebend_routing.sessions import SessionMemory
 from clementinebend_transport.http_client import HttpClient, OpenAnswer
 
-CONNECT_SECONDS = 0.4
+CONNECT_TIMEOUT = 0.4
 """Time for a new connection: some hundred times a round trip between zones,
 and short enough that another endpoint can still answer in time."""
 
-ONCE_MAX_IDLE = 0.8
+NON_REPEATABLE_MAX_IDLE = 0.8
 """Seconds for which a connection may be idle and carry a call that cannot be
 sent again: the shortest idle timeout that endpoints tell is 1 s."""
 
 
-class Opened(NamedTuple):
+class ResponseStarted(NamedTuple):
     """The head of an endpoint's answer has come."""
 
     state: EndpointState
@@ -53,7 +53,7 @@
     problem: str
 
 
-class Lost(NamedTuple):
+class ResponseLost(NamedTuple):
     """The call went out and no usable answer came: it may have run.
 
     ``broke_off`` tells that the connection ended before the head of an answer.
@@ -102,10 +102,10 @@
             clock,
         )
         endpoints.on_announced = self._on_announced
-        endpoints.on_drop = self._forget
+        endpoints.on_drop = self._on_endpoint_dropped
         self.retries: dict[str, RetryWindow] = {}
 
-    def _forget(self, endpoint: Endpoint) -> None:
+    def _on_endpoint_dropped(self, endpoint: Endpoint) -> None:
         """Forget the prompts and the idle connections of a boot that is gone."""
         self.sessions.forget(endpoint.name)
         self.client.close_idle(endpoint.address)
@@ -166,12 +166,12 @@
             state.take_unread(call.request_id)
             self.probes.on_ended(state.endpoint, call.request_id)
 
-    def _on_alive(self, boot: str) -> None:
+    def _mark_alive(self, boot: str) -> None:
         """Note that an endpoint has answered, and so has not ended."""
         self.ends.on_alive(boot)
         self.quarantine.on_alive(boot)
 
-    def _take_notice(
+    def _apply_notice(
         self, request_id: str, state: EndpointState, answer: OpenAnswer
     ) -> None:
         """Take what an endpoint says about itself in an answer."""
@@ -208,9 +208,9 @@
         admitted: Admitted,
         state: EndpointState,
         deadline: float,
-        head_by: float,
+        head_deadline: float,
         resume_after: str | None,
-    ) -> Opened | NotSent | Lost:
+    ) -> ResponseStarted | NotSent | ResponseLost:
         """Send a call to an endpoint and wait for the head of the answer."""
         call, endpoint = admitted.call, state.endpoint
         now = self.clock()
@@ -223,23 +223,25 @@
             state.unread[call.request_id].fetch_from,
         )
         request = self.protocol.endpoint_request(call, dispatch)
-        idle = {} if admitted.route.may_repeat else {"max_idle": ONCE_MAX_IDLE}
+        idle_limit = (
+            {} if admitted.route.may_repeat else {"max_idle": NON_REPEATABLE_MAX_IDLE}
+        )
         sent = await self.client.send(
             endpoint.address,
             request,
             call.body,
-            max(0.0, head_by - now),
-            CONNECT_SECONDS,
-            **idle,
+            max(0.0, head_deadline - now),
+            CONNECT_TIMEOUT,
+            **idle_limit,
         )
         match sent:
             case Result(tag="ok", ok=answer):
                 state.on_heard(self.clock())
                 verdict = self.protocol.judge(call, answer.status, answer.headers)
                 if verdict not in (Verdict.WRONG_ENDPOINT, Verdict.FOREIGN):
-                    self._on_alive(boot_name(endpoint))
-                    self._take_notice(call.request_id, state, answer)
-                return Opened(state, answer, verdict)
+                    self._mark_alive(boot_name(endpoint))
+                    self._apply_notice(call.request_id, state, answer)
+                return ResponseStarted(state, answer, verdict)
             case _:
                 failure = sent.error
         if not failure.sent:
@@ -254,4 +256,4 @@
         )
         if not failure.sent:
             return NotSent(failure.message)
-        return Lost(failure.message, failure.broke_off)
+        return ResponseLost(failure.message, failure.broke_off)
--- a/tests/unit/relay/test_attempts.py
+++ b/tests/unit/relay/test_attempts.py
@@ -7,7 +7,7 @@
 
 from clementinebend_relay.admission import Admitted
 from clementinebend_relay.attempts import UNSERVED_TRIES, Attempts
-from clementinebend_relay.dispatch import NotSent, Opened
+from clementinebend_relay.dispatch import NotSent, ResponseStarted
 from clementinebend_relay.endpoint_state import Unread
 from clementinebend_relay.interfaces import Verdict
 from clementinebend_relay.models import RouteKind
@@ -49,7 +49,7 @@
         if fate is None:
             return NotSent("nobody listens")
         answer = SimpleNamespace(status=200, close=lambda: None)
-        return Opened(state, answer, fate)  # type: ignore[arg-type]
+        return ResponseStarted(state, answer, fate)  # type: ignore[arg-type]
 
 
 def progress(max_attempts: int) -> CallProgress:
