--- a/libs/relay/src/clementinebend_relay/dispatch.py
+++ b/libs/relay/src/clementinebend_relay/dispatch.py
@@ -1,4 +1,4 @@
-"""The sending of one attempt, and what is in flight where."""
+"""Sends single attempts to endpoints and tracks the calls in flight."""
 
 from collections.abc import Callable, Collection, Iterator
 from contextlib import contextmanager
@@ -31,16 +31,21 @@
 from clementinebend_transport.http_client import HttpClient, OpenAnswer
 
 CONNECT_TIMEOUT = 0.4
-"""Time for a new connection: some hundred times a round trip between zones,
-and short enough that another endpoint can still answer in time."""
+"""Timeout in seconds for opening a connection.
+
+It is about a hundred times a round trip between zones, and short enough that another
+endpoint can still respond in time.
+"""
 
 NON_REPEATABLE_MAX_IDLE = 0.8
-"""Seconds for which a connection may be idle and carry a call that cannot be
-sent again: the shortest idle timeout that endpoints tell is 1 s."""
+"""Longest idle time in seconds of a connection that a non-repeatable call reuses.
+
+The shortest idle timeout that endpoints announce is 1 s.
+"""
 
 
 class ResponseStarted(NamedTuple):
-    """The head of an endpoint's answer has come."""
+    """The head of an endpoint's response has arrived."""
 
     state: EndpointState
     answer: OpenAnswer
@@ -48,15 +53,15 @@
 
 
 class NotSent(NamedTuple):
-    """No byte of the call went out."""
+    """No byte of the call was sent."""
 
     problem: str
 
 
 class ResponseLost(NamedTuple):
-    """The call went out and no usable answer came: it may have run.
+    """The call was sent and got no usable response, so it may have run.
 
-    ``broke_off`` tells that the connection ended before the head of an answer.
+    ``broke_off`` is set if the connection closed before the head of a response.
     """
 
     problem: str
@@ -64,7 +69,7 @@
 
 
 class Dispatcher:
-    """Sends attempts; what is in flight where is in the endpoints' states."""
+    """Sends attempts and updates the in-flight counters in the endpoints' states."""
 
     def __init__(
         self,
@@ -106,7 +111,7 @@
         self.retries: dict[str, RetryWindow] = {}
 
     def _on_endpoint_dropped(self, endpoint: Endpoint) -> None:
-        """Forget the prompts and the idle connections of a boot that is gone."""
+        """Discard the prompts and idle connections kept for a boot that is gone."""
         self.sessions.forget(endpoint.name)
         self.client.close_idle(endpoint.address)
         self.ends.on_gone(endpoint)
@@ -115,26 +120,26 @@
         self.quarantine.on_announced(boot_name(endpoint))
 
     def retry_window(self, service: str) -> RetryWindow:
-        """Return this entry's retries for a service."""
+        """Return this entry's retry window for a service."""
         return self.retries.setdefault(service, RetryWindow())
 
     def may_retry(self, service: str) -> bool:
-        """Tell whether the fleet's retry budget has one left here; take it."""
+        """Tell whether the fleet's retry budget allows a retry here; count it if so."""
         entries = self.peers.entry_count()
         window = self.retry_window(service)
         return window.may_retry(self.retry_limits, entries, self.clock())
 
     async def survey(self, admitted: Admitted, tried: Collection[str]) -> Survey:
-        """Ask about some endpoints and choose one of them."""
+        """Query the queues of some endpoints and choose one of them."""
         return await self.surveyor.survey(admitted, tried)
 
     def is_usable(self, survey: Survey) -> bool:
-        """Tell whether a call may still be sent by a survey."""
+        """Tell whether a survey is recent enough to send a call by it."""
         return self.surveyor.is_usable(survey)
 
     @contextmanager
     def in_flight(self, admitted: Admitted, placement: Placement) -> Iterator[None]:
-        """Count an attempt at an endpoint while it lasts, and tell of it."""
+        """Count an attempt as in flight, and report it to the queue keeper."""
         call, state = admitted.call, placement.state
         source = placement.source
         fetch_from = None if source is None else source.endpoint.address
@@ -167,14 +172,14 @@
             self.probes.on_ended(state.endpoint, call.request_id)
 
     def _mark_alive(self, boot: str) -> None:
-        """Note that an endpoint has answered, and so has not ended."""
+        """Record that a boot of an endpoint has responded, so it has not ended."""
         self.ends.on_alive(boot)
         self.quarantine.on_alive(boot)
 
     def _apply_notice(
         self, request_id: str, state: EndpointState, answer: OpenAnswer
     ) -> None:
-        """Take what an endpoint says about itself in an answer."""
+        """Apply an endpoint's notice that it is leaving or asks for a pause."""
         notice = self.protocol.notice(answer.status, answer.headers)
         if notice == Notice():
             return
@@ -192,7 +197,7 @@
             state.on_pause(notice.pause, self.clock())
 
     def on_first_token(self, admitted: Admitted, state: EndpointState) -> None:
-        """Note that the prompt of a call has been read, and how long that took."""
+        """Record that an endpoint has read a call's prompt, and update its pace."""
         call = state.take_unread(admitted.call.request_id)
         if call is None:
             return
@@ -211,7 +216,7 @@
         head_deadline: float,
         resume_after: str | None,
     ) -> ResponseStarted | NotSent | ResponseLost:
-        """Send a call to an endpoint and wait for the head of the answer."""
+        """Send a call to an endpoint and wait for the head of the response."""
         call, endpoint = admitted.call, state.endpoint
         now = self.clock()
         dispatch = Dispatch(
