--- a/libs/relay/src/clementinebend_relay/attempts.py
+++ b/libs/relay/src/clementinebend_relay/attempts.py
@@ -24,17 +24,17 @@
 from clementinebend_transport.http_client import OpenAnswer
 from clementinebend_transport.http_types import Response
 
-FIRST_PART = 0.5
+RETRYABLE_ATTEMPT_SHARE = 0.5
 """Part of the time left that an attempt gets while another may follow it."""
 
-STREAM_TARGETS = 2.0
+STREAM_HEAD_TARGETS = 2.0
 """Latency targets after which a stream without a head is tried elsewhere."""
 
 MAX_FAILURE_BYTES = 256 * 1024
 """The largest body of an answer that is no success: it is kept while retrying,
 or read so that its connection serves again."""
 
-UNSERVED_TRIES = 3
+MAX_MISSING_ENDPOINTS = 3
 """Endpoints that may turn out unreachable, or to have ended, before a call is given
 up. They are no attempts: no endpoint of the call's service was asked to run it."""
 
@@ -47,15 +47,15 @@
 """Seconds between two surveys of an attempt that waits for the rate limit."""
 
 
-class Running(NamedTuple):
+class OpenAttempt(NamedTuple):
     """An attempt whose answer is a success so far.
 
-    ``hold`` ends the attempt's account at its endpoint when it is closed.
+    ``cleanup`` ends the attempt's account at its endpoint when it is closed.
     """
 
     state: EndpointState
     answer: OpenAnswer
-    hold: ExitStack
+    cleanup: ExitStack
 
 
 class Attempts:
@@ -72,23 +72,25 @@
         self.news = news
         self.clock = clock
 
-    async def next(self, progress: CallProgress) -> Running | None:
+    async def next(self, progress: CallProgress) -> OpenAttempt | None:
         """Return an attempt with a successful head, none if there is no more.
 
         What the last endpoint that failed had to say is then in ``progress``.
         """
-        while progress.unserved < UNSERVED_TRIES and self._may_go_on(progress):
+        while progress.missing_endpoints < MAX_MISSING_ENDPOINTS and self._may_attempt(
+            progress
+        ):
             fingerprint = progress.admitted.fingerprint
             progress.refusal = await self.quarantine.turn(
                 fingerprint, progress.deadline
             )
             if progress.refusal is not None:
                 return None
-            hold = ExitStack()
-            hold.enter_context(self.quarantine.running(fingerprint))
+            cleanup = ExitStack()
+            cleanup.enter_context(self.quarantine.running(fingerprint))
             running = None
             try:
-                placement = await self._place(progress)
+                placement = await self._choose_placement(progress)
                 if placement is None:
                     service = progress.admitted.service.name
                     progress.pause = self.dispatcher.endpoints.pause_left(service)
@@ -96,17 +98,17 @@
                 state = placement.state
                 progress.reports = placement.reports
                 sending = self.dispatcher.in_flight(progress.admitted, placement)
-                hold.enter_context(sending)
+                cleanup.enter_context(sending)
                 outcome = await self._send(progress, state)
-                if _is_unserved(outcome):
-                    progress.unserved += 1
+                if _is_endpoint_missing(outcome):
+                    progress.missing_endpoints += 1
                     progress.attempts -= 1
                 if isinstance(outcome, NotSent):
                     continue
-                running = await self._judge(progress, outcome, hold)
+                running = await self._relayable_attempt(progress, outcome, cleanup)
             finally:
                 if running is None:
-                    hold.close()
+                    cleanup.close()
             if running is not None:
                 return running
         return None
@@ -139,7 +141,7 @@
             ends = self.dispatcher.ends
             ends.on_broken(state, admitted.fingerprint, progress.sent_at)
 
-    async def _place(self, progress: CallProgress) -> Placement | None:
+    async def _choose_placement(self, progress: CallProgress) -> Placement | None:
         """Return where the next attempt goes, by a survey that is still usable.
 
         Waits up to ``RATE_LIMIT_WAIT`` while the endpoints are at their rate limit.
@@ -160,7 +162,7 @@
                 await sleep(RATE_LIMIT_PAUSE)
         return survey.placement
 
-    def _may_go_on(self, progress: CallProgress) -> bool:
+    def _may_attempt(self, progress: CallProgress) -> bool:
         if progress.attempts_left <= 0 or self.clock() >= progress.deadline:
             return False
         if progress.may_have_run and not progress.admitted.route.may_repeat:
@@ -180,43 +182,45 @@
         progress.tried.append(state.endpoint.name)
         sent = state.unread[progress.admitted.call.request_id]
         progress.ahead, progress.unread = sent.ahead, sent.tokens
-        was_unsure = progress.may_have_run
+        may_have_run_before = progress.may_have_run
         progress.may_have_run = True
         outcome = await self.dispatcher.open(
             progress.admitted,
             state,
             progress.deadline,
-            self._head_by(progress),
+            self._head_deadline(progress),
             progress.last_event,
         )
         progress.sent += not isinstance(outcome, NotSent)
         if isinstance(outcome, NotSent):
-            progress.may_have_run = was_unsure
+            progress.may_have_run = may_have_run_before
             progress.problem = outcome.problem
         elif isinstance(outcome, ResponseLost):
             progress.problem = outcome.problem
             if outcome.broke_off:
                 self.on_broken(progress, state, outcome.problem)
         elif outcome.verdict in (Verdict.NOT_RUN, Verdict.WRONG_ENDPOINT):
-            progress.may_have_run = was_unsure
+            progress.may_have_run = may_have_run_before
         return outcome
 
-    def _head_by(self, progress: CallProgress) -> float:
+    def _head_deadline(self, progress: CallProgress) -> float:
         """Return until when an attempt may take to the head of its answer."""
         route = progress.admitted.route
         now = self.clock()
         if not route.may_repeat or progress.attempts_left <= 0:
             return progress.deadline
         if route.kind is RouteKind.STREAM:
-            return min(progress.deadline, now + STREAM_TARGETS * route.latency_target)
-        return now + (progress.deadline - now) * FIRST_PART
+            return min(
+                progress.deadline, now + STREAM_HEAD_TARGETS * route.latency_target
+            )
+        return now + (progress.deadline - now) * RETRYABLE_ATTEMPT_SHARE
 
-    async def _judge(
+    async def _relayable_attempt(
         self,
         progress: CallProgress,
         outcome: ResponseStarted | ResponseLost,
-        hold: ExitStack,
-    ) -> Running | None:
+        cleanup: ExitStack,
+    ) -> OpenAttempt | None:
         """Return the attempt if its answer is to be relayed."""
         if isinstance(outcome, ResponseLost):
             return None
@@ -224,7 +228,7 @@
         call = progress.admitted.call
         match outcome.verdict:
             case Verdict.SUCCESS:
-                return Running(outcome.state, outcome.answer, hold)
+                return OpenAttempt(outcome.state, outcome.answer, cleanup)
             case Verdict.WRONG_ENDPOINT:
                 progress.problem = "another endpoint has the address"
                 outcome.answer.close()
@@ -238,7 +242,7 @@
                 self.dispatcher.endpoints.on_end(outcome.state, ok=False)
             case Verdict.FAILED:
                 progress.problem = "the endpoint failed"
-                progress.failure = await self._failure(outcome.answer, progress)
+                progress.failure = await self._read_failure(outcome.answer, progress)
                 self.dispatcher.endpoints.on_end(outcome.state, ok=False)
         log_decision(
             "attempt refused",
@@ -249,7 +253,7 @@
         )
         return None
 
-    async def _failure(
+    async def _read_failure(
         self, answer: OpenAnswer, progress: CallProgress
     ) -> Response | None:
         body = await read_body(answer, progress.deadline, MAX_FAILURE_BYTES)
@@ -260,7 +264,7 @@
         return Response(answer.status, headers, body.ok)
 
 
-def _is_unserved(outcome: ResponseStarted | NotSent | ResponseLost) -> bool:
+def _is_endpoint_missing(outcome: ResponseStarted | NotSent | ResponseLost) -> bool:
     """Tell whether the endpoint was not there to take the call."""
     if isinstance(outcome, ResponseStarted):
         return outcome.verdict is Verdict.WRONG_ENDPOINT
--- a/libs/relay/src/clementinebend_relay/plain.py
+++ b/libs/relay/src/clementinebend_relay/plain.py
@@ -1,6 +1,6 @@
 """Relay of answers that are given whole."""
 
-from clementinebend_relay.attempts import Attempts, Running
+from clementinebend_relay.attempts import Attempts, OpenAttempt
 from clementinebend_relay.bodies import read_body
 from clementinebend_relay.dispatch import Dispatcher
 from clementinebend_relay.progress import CallProgress
@@ -21,14 +21,16 @@
     async def answer(self, progress: CallProgress) -> Response | None:
         """Return an endpoint's answer; none if no attempt led to one."""
         while (running := await self.attempts.next(progress)) is not None:
-            with running.hold:
+            with running.cleanup:
                 response = await self._read(running, progress)
             if response is not None:
                 progress.is_whole = True
                 return response
         return progress.failure
 
-    async def _read(self, running: Running, progress: CallProgress) -> Response | None:
+    async def _read(
+        self, running: OpenAttempt, progress: CallProgress
+    ) -> Response | None:
         endpoints = self.dispatcher.endpoints
         body = await read_body(running.answer, progress.deadline, MAX_ANSWER_BYTES)
         endpoints.on_end(running.state, ok=body.is_ok())
--- a/libs/relay/src/clementinebend_relay/progress.py
+++ b/libs/relay/src/clementinebend_relay/progress.py
@@ -27,7 +27,8 @@
 class CallProgress:
     """The state of one call; the task that serves it owns it.
 
-    ``attempts`` counts the endpoints that were there to take it, ``unserved`` those
+    ``attempts`` counts the endpoints that were there to take it,
+    ``missing_endpoints`` those
     that were not, ``sent`` how often it went out to either, ``sent_at`` is when it was
     last sent. ``ahead`` and ``unread`` are the tokens to be read before its prompt, and
     of it, where it was sent last.
@@ -45,7 +46,7 @@
         self.deadline = deadline
         self.survey = survey
         self.attempts = 0
-        self.unserved = 0
+        self.missing_endpoints = 0
         self.sent = 0
         self.sent_at = 0.0
         self.tried: list[str] = []
--- a/libs/relay/src/clementinebend_relay/streams.py
+++ b/libs/relay/src/clementinebend_relay/streams.py
@@ -8,7 +8,7 @@
 from collections.abc import AsyncGenerator, AsyncIterator, Callable
 from contextlib import aclosing
 
-from clementinebend_relay.attempts import Attempts, Running
+from clementinebend_relay.attempts import Attempts, OpenAttempt
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.dispatch import Dispatcher
 from clementinebend_relay.events import EventSplitter, StreamEvent, follows
@@ -109,7 +109,7 @@
         return self._events(running, progress)
 
     async def _events(
-        self, running: Running, progress: CallProgress
+        self, running: OpenAttempt, progress: CallProgress
     ) -> AsyncGenerator[StreamEvent, None]:
         """Yield the events of one attempt; raises ``Broken`` if it breaks off."""
         splitter = EventSplitter()
@@ -130,13 +130,13 @@
             is_done = True
         finally:
             running.answer.close()
-            running.hold.close()
+            running.cleanup.close()
             if is_done:
                 endpoints.on_end(state, ok=True)
                 self.attempts.on_sound(progress)
 
     def _take(
-        self, event: StreamEvent, running: Running, progress: CallProgress
+        self, event: StreamEvent, running: OpenAttempt, progress: CallProgress
     ) -> None:
         """Count an event, in its place in the stream."""
         if not follows(event.number, progress.last_event):
@@ -152,7 +152,7 @@
         progress.last_event = event.number or progress.last_event
 
     async def _next_piece(
-        self, running: Running, progress: CallProgress
+        self, running: OpenAttempt, progress: CallProgress
     ) -> bytes | None:
         """Return the next bytes of an attempt, none at its end."""
         may_move = progress.admitted.route.is_resumable and progress.attempts_left > 0
@@ -168,14 +168,16 @@
             except TruncatedAnswer as error:
                 raise self._broken(running, progress, str(error)) from error
 
-    def _check_silence(self, running: Running, progress: CallProgress) -> None:
+    def _check_silence(self, running: OpenAttempt, progress: CallProgress) -> None:
         now = self.clock()
         if now >= progress.deadline:
             raise Broken("the time limit has passed")
         if now - running.state.heard_at > SILENT_SECONDS:
             raise self._broken(running, progress, "the endpoint has gone silent")
 
-    def _broken(self, running: Running, progress: CallProgress, problem: str) -> Broken:
+    def _broken(
+        self, running: OpenAttempt, progress: CallProgress, problem: str
+    ) -> Broken:
         self.attempts.on_broken(progress, running.state, problem)
         self.dispatcher.endpoints.on_end(running.state, ok=False)
         return Broken(problem)
--- a/tests/unit/relay/test_attempts.py
+++ b/tests/unit/relay/test_attempts.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from clementinebend_relay.admission import Admitted
-from clementinebend_relay.attempts import UNSERVED_TRIES, Attempts
+from clementinebend_relay.attempts import MAX_MISSING_ENDPOINTS, Attempts
 from clementinebend_relay.dispatch import NotSent, ResponseStarted
 from clementinebend_relay.endpoint_state import Unread
 from clementinebend_relay.interfaces import Verdict
@@ -77,9 +77,9 @@
 
 
 async def test_a_call_is_given_up_after_some_endpoints_that_are_not_there() -> None:
-    fates: list[Verdict | None] = [Verdict.WRONG_ENDPOINT] * (UNSERVED_TRIES + 1)
+    fates: list[Verdict | None] = [Verdict.WRONG_ENDPOINT] * (MAX_MISSING_ENDPOINTS + 1)
     dispatcher = FakeDispatcher(fates)
     made = progress(max_attempts=2)
     assert await attempts(dispatcher).next(made) is None
-    assert len(made.tried) == UNSERVED_TRIES
+    assert len(made.tried) == MAX_MISSING_ENDPOINTS
     assert not made.may_have_run
