--- a/libs/relay/src/clementinebend_relay/attempts.py
+++ b/libs/relay/src/clementinebend_relay/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of a call until one has an answer worth relaying."""
+"""Sends a call to endpoints, one after another, until one has a usable response."""
 
 from asyncio import sleep
 from collections.abc import Callable
@@ -25,22 +25,29 @@
 from clementinebend_transport.http_types import Response
 
 RETRYABLE_ATTEMPT_SHARE = 0.5
-"""Part of the time left that an attempt gets while another may follow it."""
+"""Share of the remaining time that an attempt gets while another may follow it."""
 
 STREAM_HEAD_TARGETS = 2.0
-"""Latency targets after which a stream without a head is tried elsewhere."""
+"""Timeout for the head of a stream before the call is sent to another endpoint.
+
+In multiples of the route's latency target.
+"""
 
 MAX_FAILURE_BYTES = 256 * 1024
-"""The largest body of an answer that is no success: it is kept while retrying,
-or read so that its connection serves again."""
+"""Maximum size in bytes of the body of an unsuccessful response.
+
+The body is kept while the call is retried, or read to its end so that the connection
+can be reused.
+"""
 
 MAX_MISSING_ENDPOINTS = 3
-"""Endpoints that may turn out unreachable, or to have ended, before a call is given
-up. They are no attempts: no endpoint of the call's service was asked to run it."""
+"""Number of unreachable or ended endpoints after which a call is given up.
 
+They don't count as attempts: no endpoint of the call's service was asked to run it.
+"""
 
 RATE_LIMIT_WAIT = 1.0
-"""Longest time in seconds that an attempt waits while all endpoints asked about are at
+"""Longest time in seconds that an attempt waits while all queried endpoints are at
 their call rate limit."""
 
 RATE_LIMIT_PAUSE = 0.05
@@ -48,9 +55,9 @@
 
 
 class OpenAttempt(NamedTuple):
-    """An attempt whose answer is a success so far.
+    """An attempt whose response has a successful head.
 
-    ``cleanup`` ends the attempt's account at its endpoint when it is closed.
+    Closing ``cleanup`` removes the attempt from those in flight at its endpoint.
     """
 
     state: EndpointState
@@ -59,7 +66,7 @@
 
 
 class Attempts:
-    """Sends a call to one endpoint after the other."""
+    """Sends a call to one endpoint after another."""
 
     def __init__(
         self,
@@ -73,9 +80,9 @@
         self.clock = clock
 
     async def next(self, progress: CallProgress) -> OpenAttempt | None:
-        """Return an attempt with a successful head, none if there is no more.
+        """Return the next attempt whose response has a successful head, or None.
 
-        What the last endpoint that failed had to say is then in ``progress``.
+        If there is none, ``progress`` holds the reason and the last failure response.
         """
         while progress.missing_endpoints < MAX_MISSING_ENDPOINTS and self._may_attempt(
             progress
@@ -114,7 +121,7 @@
         return None
 
     def on_sound(self, progress: CallProgress) -> None:
-        """Note that a call did not end its endpoint: it has run to its end, or long."""
+        """Record that a call completed, or ran long, without ending its endpoint."""
         if not progress.is_sound:
             progress.is_sound = True
             self.news.on_sound(progress.admitted.fingerprint)
@@ -122,7 +129,7 @@
     def on_broken(
         self, progress: CallProgress, state: EndpointState, problem: str
     ) -> None:
-        """Note that an endpoint ended the connection before its answer was whole."""
+        """Record that an endpoint closed the connection within its response."""
         admitted = progress.admitted
         broken_answers.labels(admitted.service.name).inc()
         log_decision(
@@ -142,7 +149,7 @@
             ends.on_broken(state, admitted.fingerprint, progress.sent_at)
 
     async def _choose_placement(self, progress: CallProgress) -> Placement | None:
-        """Return where the next attempt goes, by a survey that is still usable.
+        """Return the endpoint for the next attempt, from a survey that is still valid.
 
         Waits up to ``RATE_LIMIT_WAIT`` while the endpoints are at their rate limit.
         """
@@ -204,7 +211,7 @@
         return outcome
 
     def _head_deadline(self, progress: CallProgress) -> float:
-        """Return until when an attempt may take to the head of its answer."""
+        """Return the time by which the head of an attempt's response must arrive."""
         route = progress.admitted.route
         now = self.clock()
         if not route.may_repeat or progress.attempts_left <= 0:
@@ -221,7 +228,7 @@
         outcome: ResponseStarted | ResponseLost,
         cleanup: ExitStack,
     ) -> OpenAttempt | None:
-        """Return the attempt if its answer is to be relayed."""
+        """Return the attempt if its response can be relayed, else record why not."""
         if isinstance(outcome, ResponseLost):
             return None
         name = outcome.state.endpoint.name
@@ -265,7 +272,7 @@
 
 
 def _is_endpoint_missing(outcome: ResponseStarted | NotSent | ResponseLost) -> bool:
-    """Tell whether the endpoint was not there to take the call."""
+    """Tell whether the endpoint was unreachable or has left its address."""
     if isinstance(outcome, ResponseStarted):
         return outcome.verdict is Verdict.WRONG_ENDPOINT
     return isinstance(outcome, NotSent)
