--- a/libs/relay/src/clementinebend_relay/streams.py
+++ b/libs/relay/src/clementinebend_relay/streams.py
@@ -18,12 +18,12 @@
 from clementinebend_transport.exceptions import AnswerCutError, TruncatedAnswer
 from clementinebend_transport.http_types import Response
 
-SILENCE_CHECK = 0.4
+SILENCE_CHECK_SECONDS = 0.4
 """Seconds without an event after which the whole endpoint's silence is looked
 at; half of the pause that still counts as good service."""
 
 
-class Broken(Exception):  # noqa: N818 - ends the reading of one attempt
+class StreamBroken(Exception):  # noqa: N818 - ends the reading of one attempt
     """The attempt's stream cannot be read on."""
 
 
@@ -46,20 +46,20 @@
         ends, however it does; without a stream it is not called.
         """
         while (running := await self.attempts.next(progress)) is not None:
-            source = self._events(running, progress)
+            source = self._read_events(running, progress)
             try:
                 first = await anext(source, None)
-            except Broken:
+            except StreamBroken:
                 continue
             except BaseException:
                 await source.aclose()
                 raise
             headers = self.dispatcher.protocol.caller_headers(running.answer.headers)
-            body = self._pieces(first, source, progress, on_end)
+            body = self._relay_events(first, source, progress, on_end)
             return Response(running.answer.status, headers, body)
         return progress.failure
 
-    async def _pieces(
+    async def _relay_events(
         self,
         first: StreamEvent | None,
         source: AsyncGenerator[StreamEvent, None],
@@ -77,14 +77,14 @@
                             yield event.data
                     progress.is_whole = True
                     return
-                except Broken as error:
+                except StreamBroken as error:
                     source = await self._resume(progress, error)
         finally:
             await source.aclose()
             on_end()
 
     async def _resume(
-        self, progress: CallProgress, error: Broken
+        self, progress: CallProgress, error: StreamBroken
     ) -> AsyncGenerator[StreamEvent, None]:
         """Return the rest of a stream from another endpoint."""
         call = progress.admitted.call
@@ -106,41 +106,43 @@
             after=progress.last_event,
             problem=str(error),
         )
-        return self._events(running, progress)
+        return self._read_events(running, progress)
 
-    async def _events(
+    async def _read_events(
         self, running: OpenAttempt, progress: CallProgress
     ) -> AsyncGenerator[StreamEvent, None]:
-        """Yield the events of one attempt; raises ``Broken`` if it breaks off."""
+        """Yield the events of one attempt; raises ``StreamBroken`` if it breaks off."""
         splitter = EventSplitter()
         state, endpoints = running.state, self.dispatcher.endpoints
-        is_done = False
+        is_complete = False
         try:
-            while (piece := await self._next_piece(running, progress)) is not None:
+            while (chunk := await self._next_chunk(running, progress)) is not None:
                 state.on_heard(self.clock())
-                for event in splitter.feed(piece):
-                    self._take(event, running, progress)
+                for event in splitter.feed(chunk):
+                    self._record_event(event, running, progress)
                     yield event
                 if splitter.is_too_large():
-                    raise self._broken(running, progress, "an event is too large")
+                    raise self._break_stream(running, progress, "an event is too large")
             if splitter.rest:
                 problem = "the stream ended within an event"
                 self.attempts.on_broken(progress, state, problem)
-                raise Broken(problem)
-            is_done = True
+                raise StreamBroken(problem)
+            is_complete = True
         finally:
             running.answer.close()
             running.cleanup.close()
-            if is_done:
+            if is_complete:
                 endpoints.on_end(state, ok=True)
                 self.attempts.on_sound(progress)
 
-    def _take(
+    def _record_event(
         self, event: StreamEvent, running: OpenAttempt, progress: CallProgress
     ) -> None:
         """Count an event, in its place in the stream."""
         if not follows(event.number, progress.last_event):
-            raise self._broken(running, progress, "an event is missing or comes twice")
+            raise self._break_stream(
+                running, progress, "an event is missing or comes twice"
+            )
         if progress.events == 0:
             self.dispatcher.on_first_token(progress.admitted, running.state)
             progress.first_event_at = self.clock()
@@ -151,33 +153,33 @@
         progress.events += 1
         progress.last_event = event.number or progress.last_event
 
-    async def _next_piece(
+    async def _next_chunk(
         self, running: OpenAttempt, progress: CallProgress
     ) -> bytes | None:
         """Return the next bytes of an attempt, none at its end."""
-        may_move = progress.admitted.route.is_resumable and progress.attempts_left > 0
+        can_resume = progress.admitted.route.is_resumable and progress.attempts_left > 0
         while True:
             until = progress.deadline
-            if may_move:
-                until = min(until, self.clock() + SILENCE_CHECK)
+            if can_resume:
+                until = min(until, self.clock() + SILENCE_CHECK_SECONDS)
             try:
                 async with timeout_at(until):
                     return await anext(running.answer.chunks, None)
             except TimeoutError:
                 self._check_silence(running, progress)
             except TruncatedAnswer as error:
-                raise self._broken(running, progress, str(error)) from error
+                raise self._break_stream(running, progress, str(error)) from error
 
     def _check_silence(self, running: OpenAttempt, progress: CallProgress) -> None:
         now = self.clock()
         if now >= progress.deadline:
-            raise Broken("the time limit has passed")
+            raise StreamBroken("the time limit has passed")
         if now - running.state.heard_at > SILENT_SECONDS:
-            raise self._broken(running, progress, "the endpoint has gone silent")
+            raise self._break_stream(running, progress, "the endpoint has gone silent")
 
-    def _broken(
+    def _break_stream(
         self, running: OpenAttempt, progress: CallProgress, problem: str
-    ) -> Broken:
+    ) -> StreamBroken:
         self.attempts.on_broken(progress, running.state, problem)
         self.dispatcher.endpoints.on_end(running.state, ok=False)
-        return Broken(problem)
+        return StreamBroken(problem)
