--- a/libs/relay/src/clementinebend_relay/streams.py
+++ b/libs/relay/src/clementinebend_relay/streams.py
@@ -1,7 +1,7 @@
-"""Relay of streams, event by event, and their resumption elsewhere.
+"""Relays streams event by event, and resumes them at another endpoint.
 
-Only whole events are passed on, so that a stream which breaks off within one
-can go on at another endpoint after the last event that the caller has.
+Only complete events are relayed, so that a stream that breaks off within an event
+can resume at another endpoint after the last event that the caller has received.
 """
 
 from asyncio import timeout_at
@@ -19,16 +19,18 @@
 from clementinebend_transport.http_types import Response
 
 SILENCE_CHECK_SECONDS = 0.4
-"""Seconds without an event after which the whole endpoint's silence is looked
-at; half of the pause that still counts as good service."""
+"""Seconds without data on a stream after which its endpoint is checked for silence.
+
+This is half of the longest pause that still counts as good service.
+"""
 
 
 class StreamBroken(Exception):  # noqa: N818 - ends the reading of one attempt
-    """The attempt's stream cannot be read on."""
+    """The stream of an attempt can't be read any further."""
 
 
 class StreamRelay:
-    """Answers calls with a stream of events."""
+    """Relays responses that are streams of events."""
 
     def __init__(
         self, attempts: Attempts, dispatcher: Dispatcher, clock: Callable[[], float]
@@ -40,10 +42,11 @@
     async def answer(
         self, progress: CallProgress, on_end: Callable[[], None]
     ) -> Response | None:
-        """Return a stream's answer once its first event has come.
+        """Return a streamed response once its first event has arrived.
 
-        None if no attempt led to one. ``on_end`` is called when the stream
-        ends, however it does; without a stream it is not called.
+        If no attempt leads to one, returns the last failure response of an endpoint,
+        or None. ``on_end`` is called when the stream ends for any reason, but not if
+        there is no stream.
         """
         while (running := await self.attempts.next(progress)) is not None:
             source = self._read_events(running, progress)
@@ -66,7 +69,7 @@
         progress: CallProgress,
         on_end: Callable[[], None],
     ) -> AsyncIterator[bytes]:
-        """Yield the whole stream, over as many attempts as it takes."""
+        """Yield the events of the whole stream, over as many attempts as needed."""
         try:
             if first is not None:
                 yield first.data
@@ -86,7 +89,7 @@
     async def _resume(
         self, progress: CallProgress, error: StreamBroken
     ) -> AsyncGenerator[StreamEvent, None]:
-        """Return the rest of a stream from another endpoint."""
+        """Return the remaining events of a stream from another endpoint."""
         call = progress.admitted.call
         running = None
         if progress.admitted.route.is_resumable:
@@ -111,7 +114,7 @@
     async def _read_events(
         self, running: OpenAttempt, progress: CallProgress
     ) -> AsyncGenerator[StreamEvent, None]:
-        """Yield the events of one attempt; raises ``StreamBroken`` if it breaks off."""
+        """Yield the events of one attempt; raise ``StreamBroken`` if it breaks off."""
         splitter = EventSplitter()
         state, endpoints = running.state, self.dispatcher.endpoints
         is_complete = False
@@ -138,10 +141,10 @@
     def _record_event(
         self, event: StreamEvent, running: OpenAttempt, progress: CallProgress
     ) -> None:
-        """Count an event, in its place in the stream."""
+        """Check the number of an event and record the event in the call's progress."""
         if not follows(event.number, progress.last_event):
             raise self._break_stream(
-                running, progress, "an event is missing or comes twice"
+                running, progress, "an event is missing or duplicated"
             )
         if progress.events == 0:
             self.dispatcher.on_first_token(progress.admitted, running.state)
@@ -156,7 +159,7 @@
     async def _next_chunk(
         self, running: OpenAttempt, progress: CallProgress
     ) -> bytes | None:
-        """Return the next bytes of an attempt, none at its end."""
+        """Return the next chunk of an attempt's response, or None at its end."""
         can_resume = progress.admitted.route.is_resumable and progress.attempts_left > 0
         while True:
             until = progress.deadline
