--- a/libs/relay/src/clementinebend_relay/plain.py
+++ b/libs/relay/src/clementinebend_relay/plain.py
@@ -1,4 +1,4 @@
-"""Relay of answers that are given whole."""
+"""Relays responses that are read completely before they are sent to the caller."""
 
 from clementinebend_relay.attempts import Attempts, OpenAttempt
 from clementinebend_relay.bodies import read_body
@@ -7,19 +7,26 @@
 from clementinebend_transport.http_types import Response
 
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
-"""The largest answer held whole: eight such answers at once fit the smallest
-host of 128 MB beside the 30 MB of the process."""
+"""Maximum size in bytes of a response held in memory.
+
+On the smallest host, of 128 MB, eight such responses fit at once beside the 30 MB of
+the process.
+"""
 
 
 class PlainRelay:
-    """Answers calls whose answer is read whole before any of it is relayed."""
+    """Relays responses that are read completely before any part is passed on."""
 
     def __init__(self, attempts: Attempts, dispatcher: Dispatcher) -> None:
         self.attempts = attempts
         self.dispatcher = dispatcher
 
     async def answer(self, progress: CallProgress) -> Response | None:
-        """Return an endpoint's answer; none if no attempt led to one."""
+        """Return an endpoint's response.
+
+        If no attempt leads to one, returns the last failure response of an endpoint,
+        or None.
+        """
         while (running := await self.attempts.next(progress)) is not None:
             with running.cleanup:
                 response = await self._read(running, progress)
