--- a/libs/relay/src/clementinebend_relay/progress.py
+++ b/libs/relay/src/clementinebend_relay/progress.py
@@ -8,11 +8,11 @@
 from clementinebend_relay.survey import Survey
 from clementinebend_transport.http_types import Response
 
-NOT_RUN_PAUSE = 0.25
+NOT_RUN_RETRY_AFTER = 0.25
 """Seconds after which a caller may come back to an endpoint that was full."""
 
 
-RETURN_SPREAD = 0.25
+RETRY_AFTER_SPREAD = 0.25
 """Part of a pause over which callers come back, so that endpoints are not full at once
 when it ends."""
 
@@ -79,11 +79,11 @@
         call = self.admitted.call
         if self.events == 0 and not self.is_whole:
             return Usage(0, self.attempts)
-        made = self.events * self.admitted.service.event_tokens
+        output_tokens = self.events * self.admitted.service.event_tokens
         if self.admitted.route.kind is not RouteKind.STREAM:
-            made = call.max_output_tokens
-        made = min(call.max_output_tokens, made)
-        return Usage(call.prompt_tokens + made, self.attempts)
+            output_tokens = call.max_output_tokens
+        output_tokens = min(call.max_output_tokens, output_tokens)
+        return Usage(call.prompt_tokens + output_tokens, self.attempts)
 
     def rejection(self, now: float) -> Rejection:
         """Return why the call ends without an endpoint's answer."""
@@ -94,12 +94,14 @@
         if self.refusal is not None:
             return self.refusal
         if is_late:
-            return Rejection(Reason.TIMEOUT_NOT_RUN, self.problem, NOT_RUN_PAUSE)
+            return Rejection(Reason.TIMEOUT_NOT_RUN, self.problem, NOT_RUN_RETRY_AFTER)
         reason = Reason.NOT_RUN if self.attempts else Reason.NO_ENDPOINT
-        return Rejection(reason, self.problem, self._return_after())
+        return Rejection(reason, self.problem, self._retry_after())
 
-    def _return_after(self) -> float:
+    def _retry_after(self) -> float:
         """Return when the caller may come back: after a pause, not all at once."""
         if self.pause is None:
-            return NOT_RUN_PAUSE
-        return self.pause + random() * max(NOT_RUN_PAUSE, self.pause * RETURN_SPREAD)
+            return NOT_RUN_RETRY_AFTER
+        return self.pause + random() * max(
+            NOT_RUN_RETRY_AFTER, self.pause * RETRY_AFTER_SPREAD
+        )
