--- a/libs/relay/src/clementinebend_relay/progress.py
+++ b/libs/relay/src/clementinebend_relay/progress.py
@@ -1,4 +1,4 @@
-"""What has become of one call so far: its attempts, and what they cost."""
+"""The progress of one call: its attempts, its cost and why it failed."""
 
 from random import random
 from typing import NamedTuple
@@ -9,34 +9,37 @@
 from clementinebend_transport.http_types import Response
 
 NOT_RUN_RETRY_AFTER = 0.25
-"""Seconds after which a caller may come back to an endpoint that was full."""
-
+"""Retry-after delay in seconds of a call that was not run, e.g. at full endpoints."""
 
 RETRY_AFTER_SPREAD = 0.25
-"""Part of a pause over which callers come back, so that endpoints are not full at once
-when it ends."""
+"""Share of a pause by which retry-after delays are spread at random.
+
+Otherwise all callers would return when the pause ends and fill the endpoints at once.
+"""
 
 
 class Usage(NamedTuple):
-    """What a call cost, in tokens, and in endpoints asked."""
+    """What a call cost: its tokens and its attempts."""
 
     tokens: int
     attempts: int
 
 
 class CallProgress:
-    """The state of one call; the task that serves it owns it.
-
-    ``attempts`` counts the endpoints that were there to take it,
-    ``missing_endpoints`` those
-    that were not, ``sent`` how often it went out to either, ``sent_at`` is when it was
-    last sent. ``ahead`` and ``unread`` are the tokens to be read before its prompt, and
-    of it, where it was sent last.
-    ``survey`` is what was found out for its first attempt, ``reports`` how many
-    endpoints were told of before the last one. ``attempt_event_at`` is when the first
-    event of the last attempt came, ``is_sound`` whether it was seen to harm nothing,
-    ``refusal`` why no further one was made.
-    ``pause`` is in how many seconds an endpoint takes work again, if all want a pause.
+    """The state of one call, owned by the task that serves it.
+
+    Attempts: ``attempts`` counts those at endpoints that were present, and
+    ``missing_endpoints`` the endpoints that were unreachable or had ended. ``sent``
+    counts how often the call was sent to either, and ``sent_at`` is when it was last
+    sent. ``survey`` is the endpoint survey made before the first attempt.
+
+    Last attempt: ``ahead`` is the number of prompt tokens that its endpoint had to read
+    first, ``unread`` the number of the call's own tokens to be read. ``reports`` is
+    how many endpoints' queues were reported before it. ``attempt_event_at`` is when its
+    first event arrived, and ``is_sound`` is set once it is known to do no harm.
+
+    ``refusal`` is why no further attempt was made. ``pause`` is the time in seconds
+    until an endpoint accepts calls again, if all have asked for a pause.
     """
 
     def __init__(
@@ -67,13 +70,13 @@
 
     @property
     def attempts_left(self) -> int:
-        """How many more endpoints the call may be sent to."""
+        """How many more attempts the call may make."""
         return self.admitted.route.max_attempts - self.attempts
 
     def usage(self) -> Usage:
-        """Return what the call cost: its prompt once, and what was delivered.
+        """Return the cost of the call: its prompt once, and the output delivered.
 
-        A team pays for what it gets: a call of which nothing was delivered
+        A team pays only for what it receives: a call without any delivered output
         costs nothing, whether or not an endpoint ran it.
         """
         call = self.admitted.call
@@ -86,7 +89,7 @@
         return Usage(call.prompt_tokens + output_tokens, self.attempts)
 
     def rejection(self, now: float) -> Rejection:
-        """Return why the call ends without an endpoint's answer."""
+        """Return the rejection of a call that got no response from an endpoint."""
         is_late = now >= self.deadline
         if self.may_have_run:
             reason = Reason.TIMEOUT_MAY_HAVE_RUN if is_late else Reason.MAY_HAVE_RUN
@@ -99,7 +102,7 @@
         return Rejection(reason, self.problem, self._retry_after())
 
     def _retry_after(self) -> float:
-        """Return when the caller may come back: after a pause, not all at once."""
+        """Return the retry-after delay; after a pause, it is spread at random."""
         if self.pause is None:
             return NOT_RUN_RETRY_AFTER
         return self.pause + random() * max(
