--- a/libs/relay/src/clementinebend_relay/bodies.py
+++ b/libs/relay/src/clementinebend_relay/bodies.py
@@ -17,23 +17,23 @@
 
 
 async def read_body(
-    answer: OpenAnswer, deadline: float, most: int
+    answer: OpenAnswer, deadline: float, max_bytes: int
 ) -> Result[bytes, BodyFailure]:
-    """Return the body of an answer of at most ``most`` bytes, or what went wrong.
+    """Return the body of an answer of at most ``max_bytes`` bytes, or what went wrong.
 
     ``deadline`` is a time of the event loop. An answer that is not read to its
     end is closed, as its connection cannot serve again.
     """
-    pieces: list[bytes] = []
+    chunks_read: list[bytes] = []
     size = 0
     is_whole = False
     try:
         async with timeout_at(deadline):
-            async for piece in answer.chunks:
-                pieces.append(piece)
-                size += len(piece)
-                if size > most:
-                    problem = f"the answer is larger than {most} bytes"
+            async for chunk in answer.chunks:
+                chunks_read.append(chunk)
+                size += len(chunk)
+                if size > max_bytes:
+                    problem = f"the answer is larger than {max_bytes} bytes"
                     return Error(BodyFailure(problem))
         is_whole = True
     except TimeoutError:
@@ -43,4 +43,4 @@
     finally:
         if not is_whole:
             answer.close()
-    return Ok(b"".join(pieces))
+    return Ok(b"".join(chunks_read))
--- a/libs/relay/src/clementinebend_relay/events.py
+++ b/libs/relay/src/clementinebend_relay/events.py
@@ -18,7 +18,7 @@
     """One whole event: its bytes, and its id if it has one."""
 
     data: bytes
-    number: str | None
+    event_id: str | None
 
 
 class EventSplitter:
@@ -31,9 +31,9 @@
         """Tell whether the event that is still to be completed is too large."""
         return len(self.rest) > MAX_EVENT_BYTES
 
-    def feed(self, piece: bytes) -> list[StreamEvent]:
-        """Return the events that ``piece`` completes."""
-        data = self.rest + piece
+    def feed(self, chunk: bytes) -> list[StreamEvent]:
+        """Return the events that ``chunk`` completes."""
+        data = self.rest + chunk
         events = []
         start = 0
         for end in EVENT_END.finditer(data):
@@ -43,16 +43,16 @@
         return events
 
 
-def follows(number: str | None, previous: str | None) -> bool:
+def is_next_event(event_id: str | None, previous: str | None) -> bool:
     """Tell whether an event may come after one numbered ``previous``.
 
     Events without a number, or with one that is none, are taken as they come.
     """
-    if number is None or previous is None:
+    if event_id is None or previous is None:
         return True
-    if not (number.isdecimal() and previous.isdecimal()):
+    if not (event_id.isdecimal() and previous.isdecimal()):
         return True
-    return int(number) == int(previous) + 1
+    return int(event_id) == int(previous) + 1
 
 
 def _event(data: bytes) -> StreamEvent:
--- a/libs/relay/src/clementinebend_relay/streams.py
+++ b/libs/relay/src/clementinebend_relay/streams.py
@@ -11,7 +11,7 @@
 from clementinebend_relay.attempts import Attempts, OpenAttempt
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.dispatch import Dispatcher
-from clementinebend_relay.events import EventSplitter, StreamEvent, follows
+from clementinebend_relay.events import EventSplitter, StreamEvent, is_next_event
 from clementinebend_relay.progress import CallProgress
 from clementinebend_routing.fatal_runs import counts_against
 from clementinebend_routing.silence import SILENT_SECONDS
@@ -142,7 +142,7 @@
         self, event: StreamEvent, running: OpenAttempt, progress: CallProgress
     ) -> None:
         """Check the number of an event and record the event in the call's progress."""
-        if not follows(event.number, progress.last_event):
+        if not is_next_event(event.event_id, progress.last_event):
             raise self._break_stream(
                 running, progress, "an event is missing or duplicated"
             )
@@ -154,7 +154,7 @@
         if not counts_against(self.clock() - progress.attempt_event_at):
             self.attempts.on_sound(progress)
         progress.events += 1
-        progress.last_event = event.number or progress.last_event
+        progress.last_event = event.event_id or progress.last_event
 
     async def _next_chunk(
         self, running: OpenAttempt, progress: CallProgress
