--- a/libs/relay/src/clementinebend_relay/events.py
+++ b/libs/relay/src/clementinebend_relay/events.py
@@ -1,6 +1,6 @@
-"""Events of a stream, cut out of the bytes of an answer.
+"""Splits the bytes of a response into server-sent events.
 
-Source: WHATWG HTML, server-sent events.
+Format: WHATWG HTML Living Standard, "Server-sent events".
 """
 
 from re import MULTILINE, compile
@@ -11,28 +11,31 @@
 
 
 MAX_EVENT_BYTES = 256 * 1024
-"""The largest event held until it is whole; usual ones have some hundred bytes."""
+"""Maximum size of an event that is buffered until it is complete.
+
+Typical events have a few hundred bytes.
+"""
 
 
 class StreamEvent(NamedTuple):
-    """One whole event: its bytes, and its id if it has one."""
+    """One complete event: its bytes, and its ID if it has one."""
 
     data: bytes
     event_id: str | None
 
 
 class EventSplitter:
-    """Cuts whole events out of pieces; keeps the rest for the next piece."""
+    """Splits chunks into complete events, and buffers the incomplete rest."""
 
     def __init__(self) -> None:
         self.rest = b""
 
     def is_too_large(self) -> bool:
-        """Tell whether the event that is still to be completed is too large."""
+        """Tell whether the buffered, incomplete event is too large."""
         return len(self.rest) > MAX_EVENT_BYTES
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
-        """Return the events that ``chunk`` completes."""
+        """Add a chunk and return the events that it completes."""
         data = self.rest + chunk
         events = []
         start = 0
@@ -44,9 +47,10 @@
 
 
 def is_next_event(event_id: str | None, previous: str | None) -> bool:
-    """Tell whether an event may come after one numbered ``previous``.
+    """Tell whether an event may directly follow the one with the ID ``previous``.
 
-    Events without a number, or with one that is none, are taken as they come.
+    IDs must be consecutive numbers. An event without an ID, or with one that is not a
+    number, is accepted in any order.
     """
     if event_id is None or previous is None:
         return True
