--- a/libs/relay/src/clementinebend_relay/bodies.py
+++ b/libs/relay/src/clementinebend_relay/bodies.py
@@ -1,4 +1,4 @@
-"""Reading of an endpoint's answer as a whole, within bounds of time and size."""
+"""Reads complete response bodies from endpoints, with limits on time and size."""
 
 from asyncio import timeout_at
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 
 
 class BodyFailure(NamedTuple):
-    """No whole body; ``broke_off`` tells that the connection ended within it."""
+    """Why a body is incomplete; ``broke_off`` is set if the connection closed early."""
 
     problem: str
     broke_off: bool = False
@@ -19,10 +19,10 @@
 async def read_body(
     answer: OpenAnswer, deadline: float, max_bytes: int
 ) -> Result[bytes, BodyFailure]:
-    """Return the body of an answer of at most ``max_bytes`` bytes, or what went wrong.
+    """Return the body of a response, of at most ``max_bytes``, or why it can't be read.
 
-    ``deadline`` is a time of the event loop. An answer that is not read to its
-    end is closed, as its connection cannot serve again.
+    ``deadline`` is in the time of the event loop. A response that is not read to its
+    end is closed, as its connection can't be reused.
     """
     chunks_read: list[bytes] = []
     size = 0
