--- a/libs/relay/src/clementinebend_relay/handler.py
+++ b/libs/relay/src/clementinebend_relay/handler.py
@@ -20,8 +20,8 @@
 from clementinebend_relay.models import Reason, Rejection, RouteKind
 from clementinebend_relay.plain import PlainRelay
 from clementinebend_relay.progress import CallProgress
+from clementinebend_relay.prompt_queues import PromptQueues
 from clementinebend_relay.streams import StreamRelay
-from clementinebend_relay.waiting_room import WaitingRoom
 from clementinebend_transport.http_types import Request, Response
 
 BUDGET_BUSY_RETRY_AFTER = 0.5
@@ -51,7 +51,7 @@
         dispatcher: Dispatcher,
         plain: PlainRelay,
         streams: StreamRelay,
-        prompt_queue: WaitingRoom,
+        prompt_queue: PromptQueues,
         is_loaded: Event,
         clock: Callable[[], float],
     ) -> None:
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -27,6 +27,7 @@
 from clementinebend_relay.models import Configuration
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.plain import PlainRelay
+from clementinebend_relay.prompt_queues import PromptQueues
 from clementinebend_relay.quarantine import Quarantine
 from clementinebend_relay.quarantine_news import QuarantineNews
 from clementinebend_relay.queue_desk import QueueDesk
@@ -34,7 +35,6 @@
 from clementinebend_relay.receiving import receive
 from clementinebend_relay.settings import RelaySettings
 from clementinebend_relay.streams import StreamRelay
-from clementinebend_relay.waiting_room import WaitingRoom
 from clementinebend_relay.witness import WitnessDesk
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_routing.sessions import SessionMemory
@@ -162,7 +162,7 @@
             self.dispatcher,
             PlainRelay(attempts, self.dispatcher),
             StreamRelay(attempts, self.dispatcher, clock),
-            WaitingRoom(self.dispatcher, clock),
+            PromptQueues(self.dispatcher, clock),
             self.known,
             clock,
         )
--- a/libs/relay/src/clementinebend_relay/waiting_room.py
+++ b/libs/relay/src/clementinebend_relay/prompt_queues.py
@@ -26,12 +26,12 @@
 from clementinebend_relay.models import Reason, Rejection
 from clementinebend_relay.survey import Survey
 
-LOOK_SECONDS = 0.03
+ROOM_CHECK_SECONDS = 0.03
 """How often the first prompt that waits looks for room: an endpoint reads some 1,500
 tokens meanwhile, and a look costs eight datagrams."""
 
 
-class WaitingRoom:
+class PromptQueues:
     """The prompts that wait in this entry, by service.
 
     Only the first of a service looks for room; the next one does so once it has gone.
@@ -41,9 +41,9 @@
         self.dispatcher = dispatcher
         self.clock = clock
         self.waiters: defaultdict[str, dict[str, WaitingPrompt]] = defaultdict(dict)
-        self.rates: defaultdict[str, StartRate] = defaultdict(StartRate)
-        self.targets: dict[str, float] = {}
-        self.left = Event()
+        self.start_rates: defaultdict[str, StartRate] = defaultdict(StartRate)
+        self.min_latency_targets: dict[str, float] = {}
+        self.waiter_left = Event()
 
     async def enter(self, admitted: Admitted) -> Survey | Rejection | None:
         """Return once a call may be sent, or why it is turned away unsent.
@@ -63,12 +63,12 @@
         )
         if not self.waiters[service]:
             survey = await self.dispatcher.survey(admitted, ())
-            if self._is_room(admitted, survey):
-                self._start(service, prompt)
+            if self._has_room(admitted, survey):
+                self._record_start(service, prompt)
                 return survey
         wait = self._expected_wait(service, prompt)
         if not can_start_in_time(prompt, wait, now):
-            return self._refuse(prompt, service, wait)
+            return self._reject(prompt, service, wait)
         return await self._wait(admitted, prompt)
 
     async def _wait(
@@ -81,41 +81,45 @@
             while (now := self.clock()) < prompt.waits_until:
                 if next_prompt(waiters.values(), now) == prompt:
                     survey = await self.dispatcher.survey(admitted, ())
-                    if self._is_room(admitted, survey):
-                        self._start(service, prompt)
+                    if self._has_room(admitted, survey):
+                        self._record_start(service, prompt)
                         self._log_wait(prompt)
                         return survey
-                await self._pause()
+                await self._wait_for_check()
         finally:
             del waiters[prompt.request]
-            self.left.set()
-            self.left.clear()
+            self.waiter_left.set()
+            self.waiter_left.clear()
         wait = self._expected_wait(service, prompt)
-        return self._refuse(prompt, service, wait)
+        return self._reject(prompt, service, wait)
 
     def _expected_wait(self, service: str, prompt: WaitingPrompt) -> float:
         others = list(self.waiters[service].values())
-        return expected_wait(prompt, others, self.rates[service], self.clock())
+        return expected_wait(prompt, others, self.start_rates[service], self.clock())
 
-    async def _pause(self) -> None:
+    async def _wait_for_check(self) -> None:
         """Wait a moment, or until one that waits has left."""
         with suppress(TimeoutError):
-            async with timeout(LOOK_SECONDS):
-                await self.left.wait()
+            async with timeout(ROOM_CHECK_SECONDS):
+                await self.waiter_left.wait()
 
-    def _is_room(self, admitted: Admitted, survey: Survey) -> bool:
+    def _has_room(self, admitted: Admitted, survey: Survey) -> bool:
         """Tell whether little enough lies before a prompt at its best endpoint."""
         if survey.is_rate_limited:
             return False
         service = admitted.service.name
         target = admitted.route.latency_target
-        target = self.targets[service] = min(target, self.targets.get(service, target))
+        target = self.min_latency_targets[service] = min(
+            target, self.min_latency_targets.get(service, target)
+        )
         ahead = survey.seconds_ahead
         return ahead is None or ahead <= LONGEST_AHEAD_PART * target
 
-    def _start(self, service: str, prompt: WaitingPrompt) -> None:
+    def _record_start(self, service: str, prompt: WaitingPrompt) -> None:
         now = self.clock()
-        self.rates[service] = on_start(self.rates[service], prompt.tokens, now)
+        self.start_rates[service] = on_start(
+            self.start_rates[service], prompt.tokens, now
+        )
 
     def _log_wait(self, prompt: WaitingPrompt) -> None:
         now = self.clock()
@@ -126,13 +130,13 @@
             is_late=now > prompt.on_time_until,
         )
 
-    def _refuse(self, prompt: WaitingPrompt, service: str, wait: float) -> Rejection:
+    def _reject(self, prompt: WaitingPrompt, service: str, wait: float) -> Rejection:
         log_decision(
             "prompt turned away",
             request_id=prompt.request,
             waiting=len(self.waiters[service]),
             expected_wait_s=round(wait, 3),
-            tokens_per_s=round(self.rates[service].tokens),
+            tokens_per_s=round(self.start_rates[service].tokens),
         )
         message = "more prompts wait than can start before their callers leave"
         return Rejection(Reason.OVERLOADED, message, return_after(wait, random()))
--- a/tests/unit/relay/test_waiting_room.py
+++ b/tests/unit/relay/test_prompt_queues.py
@@ -8,8 +8,8 @@
 from clementinebend_relay.admission import Admitted
 from clementinebend_relay.dispatch import Dispatcher
 from clementinebend_relay.models import Reason, Rejection, RouteKind
+from clementinebend_relay.prompt_queues import PromptQueues
 from clementinebend_relay.survey import Survey
-from clementinebend_relay.waiting_room import WaitingRoom
 from clementinebend_routing.sessions import PromptPart
 from tests.unit.relay import calls
 from tests.unit.relay.calls import CALL
@@ -34,8 +34,8 @@
     return calls.admitted(calls.route(RouteKind.STREAM, priority=priority), call)
 
 
-def room_before(ahead: Ahead) -> WaitingRoom:
-    return WaitingRoom(cast(Dispatcher, ahead), get_running_loop().time)
+def room_before(ahead: Ahead) -> PromptQueues:
+    return PromptQueues(cast(Dispatcher, ahead), get_running_loop().time)
 
 
 def test_a_call_goes_at_once_where_little_or_nothing_known_lies_ahead() -> None:
