--- a/libs/relay/src/clementinebend_relay/prompt_queues.py
+++ b/libs/relay/src/clementinebend_relay/prompt_queues.py
@@ -1,6 +1,7 @@
-"""Where prompts wait until an endpoint has little to read before them.
+"""Queues in which prompts wait until an endpoint can read them soon.
 
-The decisions are those of ``clementinebend_admission.waiting``; here are the waits.
+The scheduling decisions are made in ``clementinebend_admission.waiting``; this module
+does the waiting.
 """
 
 from asyncio import Event, timeout
@@ -27,14 +28,17 @@
 from clementinebend_relay.survey import Survey
 
 ROOM_CHECK_SECONDS = 0.03
-"""How often the first prompt that waits looks for room: an endpoint reads some 1,500
-tokens meanwhile, and a look costs eight datagrams."""
+"""Interval in seconds at which the first waiting prompt checks for room.
+
+An endpoint reads about 1,500 tokens in that time, and a check costs eight datagrams.
+"""
 
 
 class PromptQueues:
-    """The prompts that wait in this entry, by service.
+    """The prompts waiting in this entry, by service.
 
-    Only the first of a service looks for room; the next one does so once it has gone.
+    Only the first prompt of a service checks for room; once it has left the queue, the
+    next one does.
     """
 
     def __init__(self, dispatcher: Dispatcher, clock: Callable[[], float]) -> None:
@@ -46,9 +50,9 @@
         self.waiter_left = Event()
 
     async def enter(self, admitted: Admitted) -> Survey | Rejection | None:
-        """Return once a call may be sent, or why it is turned away unsent.
+        """Wait until a call may be sent; return its survey, or why it is rejected.
 
-        With it comes what was found out about endpoints, if the call has a prompt.
+        Returns None at once for a call without a prompt, as it never waits.
         """
         if not admitted.call.parts:
             return None
@@ -98,13 +102,13 @@
         return expected_wait(prompt, others, self.start_rates[service], self.clock())
 
     async def _wait_for_check(self) -> None:
-        """Wait a moment, or until one that waits has left."""
+        """Wait for the next check, or until a waiting prompt has left its queue."""
         with suppress(TimeoutError):
             async with timeout(ROOM_CHECK_SECONDS):
                 await self.waiter_left.wait()
 
     def _has_room(self, admitted: Admitted, survey: Survey) -> bool:
-        """Tell whether little enough lies before a prompt at its best endpoint."""
+        """Tell whether little enough is ahead of a prompt at its best endpoint."""
         if survey.is_rate_limited:
             return False
         service = admitted.service.name
