--- a/libs/relay/src/clementinebend_relay/survey.py
+++ b/libs/relay/src/clementinebend_relay/survey.py
@@ -25,7 +25,7 @@
 CONNECTION_SHARE = 0.9
 """Part of an endpoint's connections that the entries use together."""
 
-FETCH_HEARD_SECONDS = 0.5
+FETCH_SOURCE_MAX_SILENCE = 0.5
 """Parts are fetched only from an endpoint that was heard so lately, unless the process
 on its host answers: an endpoint that fetches from a dark one gives no first token
 before the caller leaves."""
@@ -41,7 +41,7 @@
 """Endpoints asked about beside those: with two at random, a session that draws many
 calls doesn't pile up on its own. Each costs a call two datagrams."""
 
-SURVEY_SECONDS = 0.03
+SURVEY_VALID_SECONDS = 0.03
 """How long a survey is good for: several dozen entries send some three prompts to each
 endpoint in a second."""
 
@@ -49,12 +49,12 @@
 class Offer(NamedTuple):
     """An endpoint that may take a call, and what the call would meet there.
 
-    ``is_told`` is false where only this entry's own calls are known.
+    ``is_reported`` is false where only this entry's own calls are known.
     """
 
     state: EndpointState
     report: QueueReport
-    is_told: bool
+    is_reported: bool
 
 
 class Placement(NamedTuple):
@@ -111,7 +111,7 @@
 
     def is_usable(self, survey: Survey) -> bool:
         """Tell whether a call may still be sent by a survey."""
-        if self.clock() - survey.at > SURVEY_SECONDS:
+        if self.clock() - survey.at > SURVEY_VALID_SECONDS:
             return False
         placement = survey.placement
         return placement is None or self.cold_endpoints.may_send(
@@ -124,15 +124,15 @@
 
     async def survey(self, admitted: Admitted, tried: Collection[str]) -> Survey:
         """Ask about some endpoints and choose one of them."""
-        fit = self._fit(admitted, tried)
-        asked = self._shortlist(admitted, fit)
+        eligible = self._eligible(admitted, tried)
+        queried = self._shortlist(admitted, eligible)
         reports = await self.probes.ask(
-            (state.endpoint for state in asked),
+            (state.endpoint for state in queried),
             admitted.priority,
             admitted.call.parts,
             self._permit_limit,
         )
-        offered = [self._offer(admitted, state, reports) for state in asked]
+        offered = [self._make_offer(admitted, state, reports) for state in queried]
         offers = [
             offer
             for offer in offered
@@ -141,10 +141,12 @@
         if offered and not offers:
             full_surveys.labels(admitted.service.name).inc()
             return Survey(self.clock(), None, None, is_rate_limited=True)
-        told = [offer for offer in offers if offer.is_told]
-        return self._choose(admitted, told or offers)
+        reported = [offer for offer in offers if offer.is_reported]
+        return self._choose(admitted, reported or offers)
 
-    def _fit(self, admitted: Admitted, tried: Collection[str]) -> list[EndpointState]:
+    def _eligible(
+        self, admitted: Admitted, tried: Collection[str]
+    ) -> list[EndpointState]:
         """Return the endpoints that may be sent a call."""
         service = admitted.service
         states = self.endpoints.candidates(service.name)
@@ -158,30 +160,34 @@
         return [state for state in open_to if not state.is_doubted(now)] or open_to
 
     def _shortlist(
-        self, admitted: Admitted, fit: list[EndpointState]
+        self, admitted: Admitted, eligible: list[EndpointState]
     ) -> list[EndpointState]:
         """Return the few endpoints to ask about, the session's first ones first.
 
         A call without a prompt has no session: those of its own zone come first.
         """
-        known = [state for state in fit if self.probes.is_known(state.endpoint)]
-        by_name = {state.endpoint.name: state for state in known or fit}
+        with_known_queue = [
+            state for state in eligible if self.probes.is_known(state.endpoint)
+        ]
+        by_name = {state.endpoint.name: state for state in with_known_queue or eligible}
         if self.is_suspected(admitted.fingerprint):
             # All entries send each suspect to an endpoint of its own, so that an end
             # tells which of them is the cause, and costs few endpoints.
-            alone = rendezvous(admitted.fingerprint, by_name, 1)
-            return [by_name[name] for name in alone]
+            assigned = rendezvous(admitted.fingerprint, by_name, 1)
+            return [by_name[name] for name in assigned]
         if admitted.call.parts:
             session = self.sessions.session_of(admitted.call.parts)
             first = list(rendezvous(session, by_name, SESSION_PROBED))
         else:
-            near = [name for name in by_name if self._is_near(by_name[name])]
-            first = sample(near, min(SESSION_PROBED, len(near)))
+            in_own_zone = [
+                name for name in by_name if self._is_in_own_zone(by_name[name])
+            ]
+            first = sample(in_own_zone, min(SESSION_PROBED, len(in_own_zone)))
         rest = [name for name in by_name if name not in first]
         others = sample(rest, min(OTHERS_PROBED, len(rest)))
         return [by_name[name] for name in (*first, *others)]
 
-    def _offer(
+    def _make_offer(
         self,
         admitted: Admitted,
         state: EndpointState,
@@ -193,23 +199,23 @@
             unread = self.sessions.uncached(state.endpoint.name, admitted.call.parts)
             ahead = state.ahead_of(admitted.priority)
             own = QueueReport(state.in_flight, ahead, unread, state.pace.seconds)
-            return Offer(state, own, is_told=False)
+            return Offer(state, own, is_reported=False)
         if report.pace is not None:
             state.pace = Pace(report.pace)
-        return Offer(state, report, is_told=True)
+        return Offer(state, report, is_reported=True)
 
     def _choose(self, admitted: Admitted, offers: list[Offer]) -> Survey:
         now = self.clock()
         if not offers:
             return Survey(now, None, None)
-        reports = sum(offer.is_told for offer in offers)
+        reports = sum(offer.is_reported for offer in offers)
         if not admitted.call.parts:
             best = min(offers, key=self._load)
             placement = Placement(
                 best.state, 0, 0, None, reports, best.report.has_permit
             )
             return Survey(now, placement, None)
-        best = self._for_prompt(offers)
+        best = self._best_for_prompt(offers)
         source = self._fetch_source(best, offers)
         tokens = best.report.unread
         if source is not None:
@@ -221,7 +227,7 @@
         )
         return Survey(now, placement, None if pace is None else ahead * pace)
 
-    def _for_prompt(self, offers: list[Offer]) -> Offer:
+    def _best_for_prompt(self, offers: list[Offer]) -> Offer:
         least = min(offer.report.unread for offer in offers)
         states = self.endpoints.states.values()
         usual = usual_pace(state.pace for state in states)
@@ -240,10 +246,10 @@
         return offers[places.index(chosen)]
 
     def _load(self, offer: Offer) -> float:
-        bias = 0.0 if self._is_near(offer.state) else ZONE_BIAS
+        bias = 0.0 if self._is_in_own_zone(offer.state) else ZONE_BIAS
         return offer.report.running + bias + random() * 0.5
 
-    def _is_near(self, state: EndpointState) -> bool:
+    def _is_in_own_zone(self, state: EndpointState) -> bool:
         return state.endpoint.zone == self.zone
 
     def _fetch_source(self, best: Offer, offers: list[Offer]) -> Offer | None:
@@ -255,7 +261,10 @@
             if offer is not best
             and offer.state.lapsed_at is None
             and not offer.state.is_doubted(now)
-            and (offer.is_told or now - offer.state.heard_at < FETCH_HEARD_SECONDS)
+            and (
+                offer.is_reported
+                or now - offer.state.heard_at < FETCH_SOURCE_MAX_SILENCE
+            )
         }
         unread = {name: offer.report.unread for name, offer in others.items()}
         source = best_source(best.report.unread, unread)
