--- a/libs/relay/src/clementinebend_relay/survey.py
+++ b/libs/relay/src/clementinebend_relay/survey.py
@@ -1,4 +1,4 @@
-"""What a call would meet at some endpoints, and which of them it is sent to."""
+"""Selects the endpoint for a call by the queues of a few candidate endpoints."""
 
 from collections.abc import Callable, Collection, Mapping
 from random import random, sample
@@ -23,33 +23,42 @@
 from clementinebend_routing.sessions import SessionMemory, best_source
 
 CONNECTION_SHARE = 0.9
-"""Part of an endpoint's connections that the entries use together."""
+"""Share of an endpoint's connections that all entries together may use."""
 
 FETCH_SOURCE_MAX_SILENCE = 0.5
-"""Parts are fetched only from an endpoint that was heard so lately, unless the process
-on its host answers: an endpoint that fetches from a dark one gives no first token
-before the caller leaves."""
+"""Longest silence in seconds of an endpoint from which cached prompt parts are fetched.
+
+It does not apply if the endpoint's queue keeper responds. An endpoint that fetches from
+an unreachable one returns no first token before the caller leaves.
+"""
 
 ZONE_BIAS = 1.0
-"""Calls in flight by which an endpoint in another zone must be better."""
+"""Number of calls in flight by which an endpoint in another zone must be better."""
 
 SESSION_PROBED = 2
-"""Endpoints of a prompt's session that are asked about: where its parts lie, and the
-one that has them when the first one is full."""
+"""Number of endpoints of a prompt's session that are queried.
+
+The first one has the prompt's cached parts; the second has them if the first is full.
+"""
 
 OTHERS_PROBED = 2
-"""Endpoints asked about beside those: with two at random, a session that draws many
-calls doesn't pile up on its own. Each costs a call two datagrams."""
+"""Number of further, random endpoints that are queried.
+
+With two of them, a session with many calls doesn't overload its own endpoints. Each
+endpoint costs a call two datagrams.
+"""
 
 SURVEY_VALID_SECONDS = 0.03
-"""How long a survey is good for: several dozen entries send some three prompts to each
-endpoint in a second."""
+"""How long a survey may be used, in seconds.
+
+Several dozen entries together send about three prompts a second to each endpoint.
+"""
 
 
 class Offer(NamedTuple):
-    """An endpoint that may take a call, and what the call would meet there.
+    """An endpoint that may take a call, and the state of its queue.
 
-    ``is_reported`` is false where only this entry's own calls are known.
+    ``is_reported`` is false if ``report`` covers only this entry's own calls.
     """
 
     state: EndpointState
@@ -60,9 +69,10 @@
 class Placement(NamedTuple):
     """The endpoint that a call is sent to.
 
-    ``tokens`` of its prompt are to be read there, after ``ahead`` others; what
-    ``source`` keeps of it is fetched instead. ``reports`` is how many endpoints were
-    told of, ``has_permit`` whether a permit was granted there, if calls are limited.
+    The endpoint has to read ``tokens`` of the call's prompt, after ``ahead`` tokens of
+    other prompts; parts cached at ``source`` are fetched instead of read. ``reports``
+    is the number of endpoints whose queue was reported. ``has_permit`` tells whether a
+    permit was granted, if the endpoint's call rate is limited.
     """
 
     state: EndpointState
@@ -74,11 +84,11 @@
 
 
 class Survey(NamedTuple):
-    """Where a call would go now, none if there is no endpoint left.
+    """The result of a survey: the placement for a call, or None without an endpoint.
 
-    ``seconds_ahead`` is how long the prompts ahead of it take there, if that is known.
-    ``is_rate_limited`` is set if endpoints were asked about and none of them accepts
-    another call in this second.
+    ``at`` is when it was made. ``seconds_ahead`` is how long the endpoint takes to read
+    the prompts ahead of the call's, if known. ``is_rate_limited`` is set if endpoints
+    were queried and none of them accepts another call in this second.
     """
 
     at: float
@@ -88,7 +98,7 @@
 
 
 class Surveyor:
-    """Asks about a few of the endpoints that may take a call, and chooses one."""
+    """Queries the queues of a few eligible endpoints and chooses one for a call."""
 
     def __init__(
         self,
@@ -110,7 +120,7 @@
         self.clock = clock
 
     def is_usable(self, survey: Survey) -> bool:
-        """Tell whether a call may still be sent by a survey."""
+        """Tell whether a survey is recent enough to send a call by it."""
         if self.clock() - survey.at > SURVEY_VALID_SECONDS:
             return False
         placement = survey.placement
@@ -123,7 +133,7 @@
         return None if state is None else self.cold_endpoints.permit_limit(state)
 
     async def survey(self, admitted: Admitted, tried: Collection[str]) -> Survey:
-        """Ask about some endpoints and choose one of them."""
+        """Query the queues of some eligible endpoints and choose one of them."""
         eligible = self._eligible(admitted, tried)
         queried = self._shortlist(admitted, eligible)
         reports = await self.probes.ask(
@@ -147,7 +157,7 @@
     def _eligible(
         self, admitted: Admitted, tried: Collection[str]
     ) -> list[EndpointState]:
-        """Return the endpoints that may be sent a call."""
+        """Return the endpoints that a call may be sent to."""
         service = admitted.service
         states = self.endpoints.candidates(service.name)
         share = service.max_connections * CONNECTION_SHARE / self.entry_count()
@@ -162,17 +172,18 @@
     def _shortlist(
         self, admitted: Admitted, eligible: list[EndpointState]
     ) -> list[EndpointState]:
-        """Return the few endpoints to ask about, the session's first ones first.
+        """Return the endpoints to query: the session's first, then random ones.
 
-        A call without a prompt has no session: those of its own zone come first.
+        A call without a prompt has no session; endpoints in this zone come first then.
         """
         with_known_queue = [
             state for state in eligible if self.probes.is_known(state.endpoint)
         ]
         by_name = {state.endpoint.name: state for state in with_known_queue or eligible}
         if self.is_suspected(admitted.fingerprint):
-            # All entries send each suspect to an endpoint of its own, so that an end
-            # tells which of them is the cause, and costs few endpoints.
+            # All entries send a suspected request to one endpoint, chosen by its
+            # fingerprint. If an endpoint ends, this shows which of the suspected
+            # requests is the cause, and few endpoints are lost.
             assigned = rendezvous(admitted.fingerprint, by_name, 1)
             return [by_name[name] for name in assigned]
         if admitted.call.parts:
@@ -193,7 +204,7 @@
         state: EndpointState,
         reports: Mapping[str, QueueReport],
     ) -> Offer:
-        """Return what an endpoint offers, by what is told or by own calls only."""
+        """Return an endpoint's offer by its report, or by this entry's calls only."""
         report = reports.get(state.endpoint.name)
         if report is None:
             unread = self.sessions.uncached(state.endpoint.name, admitted.call.parts)
@@ -253,7 +264,7 @@
         return state.endpoint.zone == self.zone
 
     def _fetch_source(self, best: Offer, offers: list[Offer]) -> Offer | None:
-        """Return the endpoint from which parts of a prompt are to be fetched."""
+        """Return the endpoint to fetch cached parts of a prompt from, if any."""
         now = self.clock()
         others = {
             offer.state.endpoint.name: offer
