--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -21,7 +21,7 @@
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.quarantine import Quarantine
 from clementinebend_relay.quarantine_news import QuarantineNews
-from clementinebend_relay.queue_desk import QueueDesk
+from clementinebend_relay.queue_keeper import QueueKeeper
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.receiving import receive
 from clementinebend_relay.witness import WitnessDesk
@@ -77,7 +77,7 @@
             clock,
         )
         self.probes = QueueProbes(Directory(), self.directory, self.send, clock)
-        self.queues = QueueDesk(self.boot, self.send, clock)
+        self.queues = QueueKeeper(self.boot, self.send, clock)
         self.quarantine = Quarantine(clock)
         self.news = QuarantineNews(
             self.boot,
--- a/libs/relay/src/clementinebend_relay/gateway.py
+++ b/libs/relay/src/clementinebend_relay/gateway.py
@@ -26,7 +26,7 @@
 from clementinebend_relay.announcing import Announcement, announce
 from clementinebend_relay.datagrams import DatagramSocket, open_socket
 from clementinebend_relay.messages import Message, QueueMessage
-from clementinebend_relay.queue_desk import QueueDesk
+from clementinebend_relay.queue_keeper import QueueKeeper
 from clementinebend_transport.client_connection import Address
 from clementinebend_transport.lifecycle import EXIT_OK
 
@@ -103,11 +103,11 @@
     def send(message: Message, to: Address) -> None:
         socket.send(message, to)
 
-    desk = QueueDesk(boot, send, get_running_loop().time)
+    keeper = QueueKeeper(boot, send, get_running_loop().time)
 
     def take(message: Message, sender: Address) -> None:
         if isinstance(message, QueueMessage):
-            desk.on_message(message, sender)
+            keeper.on_message(message, sender)
 
     socket = await open_socket(address, take)
     return socket
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -30,7 +30,7 @@
 from clementinebend_relay.prompt_queues import PromptQueues
 from clementinebend_relay.quarantine import Quarantine
 from clementinebend_relay.quarantine_news import QuarantineNews
-from clementinebend_relay.queue_desk import QueueDesk
+from clementinebend_relay.queue_keeper import QueueKeeper
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.receiving import receive
 from clementinebend_relay.settings import RelaySettings
@@ -107,7 +107,7 @@
             clock,
         )
         self.probes = QueueProbes(self.gateways, self.entries, self._send, clock)
-        self.queues = QueueDesk(boot, self._send, clock)
+        self.queues = QueueKeeper(boot, self._send, clock)
         self.witnesses.is_needed = self.peers.homes.is_candidate
         quarantine = Quarantine(clock)
         self.news = QuarantineNews(
--- a/libs/relay/src/clementinebend_relay/queue_desk.py
+++ b/libs/relay/src/clementinebend_relay/queue_keeper.py
@@ -18,7 +18,7 @@
 from clementinebend_routing.endpoint_queue import EndpointQueue
 from clementinebend_transport.client_connection import Address
 
-QUEUES_KEPT = 64
+MAX_QUEUES = 64
 """Boots of endpoints whose queues one process keeps: on one host there are a few, and
 each boot that ended leaves one behind."""
 
@@ -26,7 +26,7 @@
 Item = TypeVar("Item")
 
 
-class QueueDesk:
+class QueueKeeper:
     """Keeps queues from what entries tell, in the memory of this boot."""
 
     def __init__(
@@ -44,8 +44,8 @@
 
     def on_message(self, message: QueueMessage, sender: Address) -> None:
         """Take what an entry tells, or answer what it asks."""
-        queue = self._queue(message.endpoint)
-        recent = self._recent_calls(message.endpoint)
+        queue = self._queue_of(message.endpoint)
+        recent = self._recent_calls_of(message.endpoint)
         now = self.clock()
         match message:
             case ProbeMessage():
@@ -68,10 +68,10 @@
             case EndedMessage():
                 queue.on_ended(message.request)
 
-    def _queue(self, endpoint: str) -> EndpointQueue:
+    def _queue_of(self, endpoint: str) -> EndpointQueue:
         return _get_or_create(self.queues, endpoint, EndpointQueue)
 
-    def _recent_calls(self, endpoint: str) -> RecentCalls:
+    def _recent_calls_of(self, endpoint: str) -> RecentCalls:
         name = endpoint_name(endpoint)
         return _get_or_create(
             self.recent_calls, name, lambda: RecentCalls(self.clock())
@@ -85,6 +85,6 @@
     if name not in items:
         items[name] = create()
     items.move_to_end(name)
-    if len(items) > QUEUES_KEPT:
+    if len(items) > MAX_QUEUES:
         items.popitem(last=False)
     return items[name]
--- a/libs/relay/src/clementinebend_relay/receiving.py
+++ b/libs/relay/src/clementinebend_relay/receiving.py
@@ -21,7 +21,7 @@
 )
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.quarantine_news import QuarantineNews
-from clementinebend_relay.queue_desk import QueueDesk
+from clementinebend_relay.queue_keeper import QueueKeeper
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.witness import WitnessDesk
 from clementinebend_relay.witnesses import Witnesses
@@ -35,7 +35,7 @@
     desk: WitnessDesk,
     witnesses: Witnesses,
     probes: QueueProbes,
-    queues: QueueDesk,
+    queues: QueueKeeper,
     news: QuarantineNews,
     leaving: LeavingNews,
     evacuations: Evacuations,
--- a/tests/unit/relay/cold_world.py
+++ b/tests/unit/relay/cold_world.py
@@ -12,7 +12,7 @@
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.messages import Message, QueueMessage, ReportMessage
 from clementinebend_relay.models import Call, Endpoint, RouteKind
-from clementinebend_relay.queue_desk import QueueDesk
+from clementinebend_relay.queue_keeper import QueueKeeper
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.survey import Surveyor
 from clementinebend_routing.cold_start import WINDOW_SECONDS, ColdBound
@@ -65,7 +65,7 @@
         self.clock = get_running_loop().time
         self.loss = 0.0
         self.gateways, self.directory = Directory(), Directory()
-        self.desks: dict[Address, QueueDesk] = {}
+        self.keepers: dict[Address, QueueKeeper] = {}
         self.arrivals: defaultdict[str, list[float]] = defaultdict(list)
         self.endpoints = [
             Endpoint(
@@ -94,7 +94,7 @@
         name = f"gateway-{number}"
         item = Announcement(f"{name}#{boot}", "z", f"10.9.0.{number}", 7)
         self.gateways.put(name, item)
-        self.desks[item.address] = QueueDesk(item.boot, self.answer, self.clock)
+        self.keepers[item.address] = QueueKeeper(item.boot, self.answer, self.clock)
 
     def deliver_later(self, deliver: object, *inputs: object) -> None:
         """Deliver a datagram after a random delay, unless it is lost."""
@@ -155,7 +155,7 @@
 
     def take(self, message: QueueMessage, to: Address) -> None:
         """Pass a datagram to the keeper that has the address now."""
-        self.world.desks[to].on_message(message, self.address)
+        self.world.keepers[to].on_message(message, self.address)
 
     async def call(self, name: str) -> bool:
         """Send a call once an endpoint accepts it; return whether it was sent."""
--- a/tests/unit/relay/test_queue_probes.py
+++ b/tests/unit/relay/test_queue_probes.py
@@ -10,7 +10,7 @@
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.messages import Message, QueueMessage, ReportMessage
 from clementinebend_relay.models import Endpoint
-from clementinebend_relay.queue_desk import QUEUES_KEPT, QueueDesk
+from clementinebend_relay.queue_keeper import MAX_QUEUES, QueueKeeper
 from clementinebend_relay.queue_probes import (
     PROBE_SECONDS,
     SUSPECTED_PAUSE,
@@ -36,7 +36,7 @@
     def __init__(self, gateways: int, entries: int = 1) -> None:
         self.clock = get_running_loop().time
         self.gateways, self.entries = Directory(), Directory()
-        self.desks: dict[Address, QueueDesk] = {}
+        self.keepers: dict[Address, QueueKeeper] = {}
         self.dark: set[Address] = set()
         self.sent = 0
         for number in range(gateways):
@@ -48,12 +48,12 @@
     def add(self, directory: Directory, name: str, host: str, boot: str = "1") -> None:
         item = Announcement(f"{name}#{boot}", "z", host, 7)
         directory.put(name, item)
-        self.desks[item.address] = QueueDesk(item.boot, self.answer, self.clock)
+        self.keepers[item.address] = QueueKeeper(item.boot, self.answer, self.clock)
 
     def send(self, message: Message, to: Address) -> None:
         self.sent += 1
         if to not in self.dark and isinstance(message, QueueMessage):
-            later(lambda: self.desks[to].on_message(message, SENDER))
+            later(lambda: self.keepers[to].on_message(message, SENDER))
 
     def answer(self, message: Message, to: Address) -> None:
         assert to == SENDER
@@ -136,7 +136,9 @@
 def test_a_keeper_that_started_again_is_heard_before_the_store_tells_of_it() -> None:
     async def main() -> None:
         world = World(1)
-        world.desks[world.host(0)] = QueueDesk("gateway-0#2", world.answer, world.clock)
+        world.keepers[world.host(0)] = QueueKeeper(
+            "gateway-0#2", world.answer, world.clock
+        )
         for _ in range(2 * MOST_UNANSWERED):
             assert "e0" in await world.probes.ask([endpoint(0)], 1, ())
             await sleep(0.05)
@@ -163,9 +165,9 @@
 def test_the_queues_of_one_keeper_are_bounded() -> None:
     async def main() -> None:
         world = World(1)
-        for number in range(3 * QUEUES_KEPT):
+        for number in range(3 * MAX_QUEUES):
             world.probes.on_sent(endpoint(0)._replace(boot=number), "r", 1, 1, ())
         await sleep(2 * WAY_SECONDS)
-        assert len(world.desks[world.host(0)].queues) == QUEUES_KEPT
+        assert len(world.keepers[world.host(0)].queues) == MAX_QUEUES
 
     run_virtually(main())
