--- a/libs/relay/src/clementinebend_relay/queue_keeper.py
+++ b/libs/relay/src/clementinebend_relay/queue_keeper.py
@@ -1,4 +1,4 @@
-"""The queues that this process keeps for all entries, and its answers to them."""
+"""Keeps endpoints' queues for all entries, and answers their probes."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -19,15 +19,16 @@
 from clementinebend_transport.client_connection import Address
 
 MAX_QUEUES = 64
-"""Boots of endpoints whose queues one process keeps: on one host there are a few, and
-each boot that ended leaves one behind."""
+"""Maximum number of endpoint boots whose queues one process keeps.
 
+A host runs a few endpoints, and each ended boot leaves one queue behind.
+"""
 
 Item = TypeVar("Item")
 
 
 class QueueKeeper:
-    """Keeps queues from what entries tell, in the memory of this boot."""
+    """Keeps queues as entries report their calls, in memory only."""
 
     def __init__(
         self,
@@ -40,10 +41,10 @@
         self.clock = clock
         self.queues: OrderedDict[str, EndpointQueue] = OrderedDict()
         self.recent_calls: OrderedDict[str, RecentCalls] = OrderedDict()
-        """By endpoint name, as entries may know different boots of an endpoint."""
+        """By endpoint name, as entries may know different boots of one endpoint."""
 
     def on_message(self, message: QueueMessage, sender: Address) -> None:
-        """Take what an entry tells, or answer what it asks."""
+        """Apply an entry's report of a call, or answer its probe."""
         queue = self._queue_of(message.endpoint)
         recent = self._recent_calls_of(message.endpoint)
         now = self.clock()
@@ -81,7 +82,7 @@
 def _get_or_create(
     items: OrderedDict[str, Item], name: str, create: Callable[[], Item]
 ) -> Item:
-    """Return the item of a name, and evict the least recently used one if needed."""
+    """Return the item of a name; evict the least recently used one above the limit."""
     if name not in items:
         items[name] = create()
     items.move_to_end(name)
