--- a/libs/relay/src/clementinebend_relay/queue_probes.py
+++ b/libs/relay/src/clementinebend_relay/queue_probes.py
@@ -24,16 +24,16 @@
 from clementinebend_routing.sessions import PromptPart
 from clementinebend_transport.client_connection import Address
 
-PROBE_SECONDS = 0.015
+PROBE_TIMEOUT = 0.015
 """How long a call waits for reports: they take some 3 ms, and a fortieth of a latency
 target of 0.6 s is little beside what a good choice spares."""
 
-SUSPECTED_PAUSE = 0.5
+SUSPECTED_RETRY_SECONDS = 0.5
 """Seconds between questions to a process that is taken for gone, to notice that it is
 back."""
 
 
-KEEPERS_REMEMBERED = 10_000
+MAX_CACHED_KEEPERS = 10_000
 """Endpoints of which it is remembered who keeps their queue, some 2 MB."""
 
 
@@ -56,9 +56,9 @@
         self.send = send
         self.clock = clock
         self.numbers = count(1)
-        self.open: dict[int, tuple[Endpoint, Future[QueueReport]]] = {}
+        self.pending: dict[int, tuple[Endpoint, Future[QueueReport]]] = {}
         self.suspicions = Suspicions()
-        self.tried_at: dict[str, float] = {}
+        self.retried_at: dict[str, float] = {}
         self.silent: set[str] = set()
         self.keepers: dict[Endpoint, Announcement | None] = {}
         self.versions = (-1, -1)
@@ -74,12 +74,12 @@
         now = self.clock()
         if not self.suspicions.is_suspected(keeper.boot, now):
             self._log_change(keeper.boot, is_silent=False)
-            self.tried_at.pop(keeper.boot, None)
+            self.retried_at.pop(keeper.boot, None)
             return True
         self._log_change(keeper.boot, is_silent=True)
-        if now - self.tried_at.setdefault(keeper.boot, now) < SUSPECTED_PAUSE:
+        if now - self.retried_at.setdefault(keeper.boot, now) < SUSPECTED_RETRY_SECONDS:
             return False
-        self.tried_at[keeper.boot] = now
+        self.retried_at[keeper.boot] = now
         return True
 
     async def ask(
@@ -87,25 +87,27 @@
         endpoints: Iterable[Endpoint],
         priority: int,
         parts: tuple[PromptPart, ...],
-        limit_of: Callable[[Endpoint], PermitLimit | None] = lambda endpoint: None,
+        permit_limit_of: Callable[[Endpoint], PermitLimit | None] = lambda endpoint: (
+            None
+        ),
     ) -> dict[str, QueueReport]:
         """Return the reports that come in time, by the endpoint's name.
 
-        Also requests a permit where ``limit_of`` returns a limit.
+        Also requests a permit where ``permit_limit_of`` returns a limit.
         """
         numbers = [
-            self._ask(endpoint, priority, parts, limit_of(endpoint))
+            self._send_probe(endpoint, priority, parts, permit_limit_of(endpoint))
             for endpoint in endpoints
         ]
-        asked = [self.open[number] for number in numbers if number is not None]
+        asked = [self.pending[number] for number in numbers if number is not None]
         try:
             with suppress(TimeoutError):
-                async with timeout(PROBE_SECONDS):
+                async with timeout(PROBE_TIMEOUT):
                     for _, future in asked:
                         await future
         finally:
             for number in numbers:
-                self.open.pop(number or 0, None)
+                self.pending.pop(number or 0, None)
         return {
             endpoint.name: future.result()
             for endpoint, future in asked
@@ -115,7 +117,7 @@
     def on_report(self, message: ReportMessage) -> None:
         """Take an answer; one that comes late only shows that its sender lives."""
         self.suspicions.on_heard(message.boot)
-        asked = self.open.get(message.number)
+        asked = self.pending.get(message.number)
         if asked is None:
             return
         endpoint, future = asked
@@ -135,15 +137,15 @@
     ) -> None:
         """Tell that a call is sent to an endpoint."""
         name = boot_name(endpoint)
-        self._tell(endpoint, SentMessage(name, request, priority, tokens, parts))
+        self._notify(endpoint, SentMessage(name, request, priority, tokens, parts))
 
     def on_read(self, endpoint: Endpoint, request: str) -> None:
         """Tell that a call's first token has come."""
-        self._tell(endpoint, ReadMessage(boot_name(endpoint), request))
+        self._notify(endpoint, ReadMessage(boot_name(endpoint), request))
 
     def on_ended(self, endpoint: Endpoint, request: str) -> None:
         """Tell that a call has ended."""
-        self._tell(endpoint, EndedMessage(boot_name(endpoint), request))
+        self._notify(endpoint, EndedMessage(boot_name(endpoint), request))
 
     def _log_change(self, boot: str, is_silent: bool) -> None:
         if is_silent == (boot in self.silent):
@@ -152,7 +154,7 @@
         decision = "queue keeper silent" if is_silent else "queue keeper heard again"
         log_decision(decision, keeper=boot)
 
-    def _ask(
+    def _send_probe(
         self,
         endpoint: Endpoint,
         priority: int,
@@ -163,7 +165,7 @@
         if keeper is None:
             return None
         number = next(self.numbers)
-        self.open[number] = (endpoint, get_running_loop().create_future())
+        self.pending[number] = (endpoint, get_running_loop().create_future())
         self.suspicions.on_asked(keeper.boot, self.clock())
         question = ProbeMessage(
             number, boot_name(endpoint), priority, parts, permit_limit
@@ -171,7 +173,7 @@
         self.send(question, keeper.address)
         return number
 
-    def _tell(self, endpoint: Endpoint, message: QueueMessage) -> None:
+    def _notify(self, endpoint: Endpoint, message: QueueMessage) -> None:
         keeper = self._keeper(endpoint)
         if keeper is not None:
             self.send(message, keeper.address)
@@ -182,7 +184,7 @@
             self.versions = versions
             self.keepers.clear()
             self._forget_ended()
-        if len(self.keepers) > KEEPERS_REMEMBERED:
+        if len(self.keepers) > MAX_CACHED_KEEPERS:
             self.keepers.clear()
         if endpoint not in self.keepers:
             self.keepers[endpoint] = self._find_keeper(endpoint)
@@ -193,8 +195,8 @@
         boots = frozenset(item.boot for each in known for item in each.values())
         self.suspicions.keep(boots)
         self.silent &= boots
-        self.tried_at = {
-            boot: at for boot, at in self.tried_at.items() if boot in boots
+        self.retried_at = {
+            boot: at for boot, at in self.retried_at.items() if boot in boots
         }
 
     def _find_keeper(self, endpoint: Endpoint) -> Announcement | None:
--- a/tests/unit/relay/test_queue_probes.py
+++ b/tests/unit/relay/test_queue_probes.py
@@ -12,8 +12,8 @@
 from clementinebend_relay.models import Endpoint
 from clementinebend_relay.queue_keeper import MAX_QUEUES, QueueKeeper
 from clementinebend_relay.queue_probes import (
-    PROBE_SECONDS,
-    SUSPECTED_PAUSE,
+    PROBE_TIMEOUT,
+    SUSPECTED_RETRY_SECONDS,
     QueueProbes,
 )
 from clementinebend_routing.sessions import PromptPart
@@ -120,12 +120,12 @@
             started = world.clock()
             reports = await world.probes.ask([endpoint(0), endpoint(1)], 1, PARTS)
             assert set(reports) == {"e1"}
-            assert world.clock() - started <= PROBE_SECONDS + 0.001
+            assert world.clock() - started <= PROBE_TIMEOUT + 0.001
             await sleep(0.05)
         assert not world.probes.is_known(endpoint(0))
         assert world.probes.is_known(endpoint(1))
         world.dark = set()
-        await sleep(SUSPECTED_PAUSE)
+        await sleep(SUSPECTED_RETRY_SECONDS)
         assert world.probes.is_known(endpoint(0))
         assert "e0" in await world.probes.ask([endpoint(0)], 1, ())
         assert world.probes.is_known(endpoint(0))
@@ -157,7 +157,7 @@
         world.probes.on_read(asked[0], "r")
         world.probes.on_ended(asked[0], "r")
         assert world.sent == 7
-        assert not world.probes.open
+        assert not world.probes.pending
 
     run_virtually(main())
 
