--- a/libs/relay/src/clementinebend_relay/queue_probes.py
+++ b/libs/relay/src/clementinebend_relay/queue_probes.py
@@ -1,4 +1,4 @@
-"""Questions to the processes that keep endpoints' queues, and what they are told."""
+"""Probes of the processes that keep endpoints' queues, and reports to them."""
 
 from asyncio import Future, get_running_loop, timeout
 from collections.abc import Callable, Iterable
@@ -25,23 +25,25 @@
 from clementinebend_transport.client_connection import Address
 
 PROBE_TIMEOUT = 0.015
-"""How long a call waits for reports: they take some 3 ms, and a fortieth of a latency
-target of 0.6 s is little beside what a good choice spares."""
+"""How long a call waits for queue reports, in seconds.
 
-SUSPECTED_RETRY_SECONDS = 0.5
-"""Seconds between questions to a process that is taken for gone, to notice that it is
-back."""
+A report takes about 3 ms. The timeout is a fortieth of a latency target of 0.6 s, far
+less than choosing a good endpoint saves.
+"""
 
+SUSPECTED_RETRY_SECONDS = 0.5
+"""Interval in seconds at which a suspected keeper is probed, to detect its return."""
 
 MAX_CACHED_KEEPERS = 10_000
-"""Endpoints of which it is remembered who keeps their queue, some 2 MB."""
+"""Maximum number of endpoints whose queue keeper is cached, about 2 MB."""
 
 
 class QueueProbes:
-    """Asks about endpoints' queues, and tells of this entry's calls there.
+    """Probes endpoints' queues, and reports this entry's calls to their keepers.
 
-    The queue of an endpoint is kept by the gateway on its host, else by one gateway
-    that all entries find alike, and where there are none by an entry.
+    The queue of an endpoint is kept by the gateway on its host. Without one there, all
+    entries choose the same gateway by rendezvous hashing, or the same entry if there
+    are no gateways.
     """
 
     def __init__(
@@ -64,9 +66,9 @@
         self.versions = (-1, -1)
 
     def is_known(self, endpoint: Endpoint) -> bool:
-        """Tell whether somebody who answers keeps the queue of an endpoint.
+        """Tell whether an endpoint's queue has a keeper that is expected to respond.
 
-        One that is taken for gone is tried now and then.
+        A suspected keeper counts as such once every ``SUSPECTED_RETRY_SECONDS``.
         """
         keeper = self._keeper(endpoint)
         if keeper is None:
@@ -91,7 +93,7 @@
             None
         ),
     ) -> dict[str, QueueReport]:
-        """Return the reports that come in time, by the endpoint's name.
+        """Return the reports that arrive in time, by endpoint name.
 
         Also requests a permit where ``permit_limit_of`` returns a limit.
         """
@@ -115,14 +117,14 @@
         }
 
     def on_report(self, message: ReportMessage) -> None:
-        """Take an answer; one that comes late only shows that its sender lives."""
+        """Accept a report; a late one only shows that its sender is alive."""
         self.suspicions.on_heard(message.boot)
         asked = self.pending.get(message.number)
         if asked is None:
             return
         endpoint, future = asked
         keeper = self._keeper(endpoint)
-        if keeper is not None:  # it may have a later boot than the store tells of
+        if keeper is not None:  # its boot may be newer than the one announced
             self.suspicions.on_heard(keeper.boot)
         if not future.done():
             future.set_result(message.report)
@@ -135,16 +137,16 @@
         tokens: int,
         parts: tuple[PromptPart, ...],
     ) -> None:
-        """Tell that a call is sent to an endpoint."""
+        """Report that a call is sent to an endpoint."""
         name = boot_name(endpoint)
         self._notify(endpoint, SentMessage(name, request, priority, tokens, parts))
 
     def on_read(self, endpoint: Endpoint, request: str) -> None:
-        """Tell that a call's first token has come."""
+        """Report that a call's first token has arrived."""
         self._notify(endpoint, ReadMessage(boot_name(endpoint), request))
 
     def on_ended(self, endpoint: Endpoint, request: str) -> None:
-        """Tell that a call has ended."""
+        """Report that a call has ended."""
         self._notify(endpoint, EndedMessage(boot_name(endpoint), request))
 
     def _log_change(self, boot: str, is_silent: bool) -> None:
