--- a/libs/relay/src/clementinebend_relay/interfaces.py
+++ b/libs/relay/src/clementinebend_relay/interfaces.py
@@ -1,4 +1,7 @@
-"""What the direct path asks of an adapter. Adapters name, format and call."""
+"""Interfaces that adapters implement for the relay.
+
+Adapters define the names, the formats and the calls of the platform.
+"""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -18,11 +21,11 @@
 
 
 class Dispatch(NamedTuple):
-    """What one sending of a call to an endpoint carries beside the call.
+    """What is sent to an endpoint with one attempt, in addition to the call.
 
-    ``time_left`` (seconds) bounds the endpoint's work; ``resume_after`` is
-    the last event that the caller already has. ``fetch_from`` is another
-    endpoint, from which kept parts of the prompt are fetched instead of read.
+    ``time_left`` is the time limit of the endpoint in seconds. ``resume_after`` is the
+    ID of the last event that the caller has received. ``fetch_from`` is another
+    endpoint, from which cached parts of the prompt are fetched instead of read.
     """
 
     endpoint: Endpoint
@@ -34,7 +37,7 @@
 
 
 class Verdict(StrEnum):
-    """What the head of an endpoint's answer says about the call."""
+    """What the head of an endpoint's response says about the call."""
 
     SUCCESS = "success"
     NOT_RUN = "not_run"
@@ -44,9 +47,9 @@
 
 
 class Notice(NamedTuple):
-    """What the head of an endpoint's answer says about the endpoint itself.
+    """What the head of an endpoint's response says about the endpoint itself.
 
-    It leaves, or wants nothing from this entry for ``pause`` seconds.
+    The endpoint is leaving, or asks this entry for a pause of ``pause`` seconds.
     """
 
     is_leaving: bool = False
@@ -54,20 +57,20 @@
 
 
 class Unusable(NamedTuple):
-    """A record that cannot be decoded, and why."""
+    """A record that can't be decoded; ``problem`` says why."""
 
     problem: str
 
 
 class HttpProtocol(Protocol):
-    """How callers and endpoints speak."""
+    """The HTTP protocol of callers and endpoints."""
 
     def is_ready_check(self, request: Request) -> bool:
-        """Tell whether a request asks if this process is ready."""
+        """Tell whether a request is a readiness check of this process."""
         ...
 
     def read_call(self, request: Request) -> Call | Rejection:
-        """Return a caller's request, decoded."""
+        """Decode a caller's request, or return why it is rejected."""
         ...
 
     def endpoint_request(self, call: Call, dispatch: Dispatch) -> HttpRequest:
@@ -75,24 +78,24 @@
         ...
 
     def judge(self, call: Call, status: int, headers: Mapping[str, str]) -> Verdict:
-        """Tell what the head of an answer says."""
+        """Return what the head of a response says about the call."""
         ...
 
     def notice(self, status: int, headers: Mapping[str, str]) -> Notice:
-        """Tell what the head of an answer says about its endpoint."""
+        """Return what the head of a response says about its endpoint."""
         ...
 
     def caller_headers(self, headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
-        """Return the headers of an endpoint's answer that the caller gets."""
+        """Return the headers of a response that are forwarded to the caller."""
         ...
 
     def rejection_response(self, rejection: Rejection, request_id: str) -> Response:
-        """Return the answer to a call that no endpoint answered."""
+        """Return the response to a call that got none from an endpoint."""
         ...
 
 
 class Records(Protocol):
-    """How the records that others write are decoded."""
+    """Decodes the records that other processes write to the store."""
 
     def configuration(self, value: bytes) -> Configuration | Unusable:
         """Return the configuration that a record holds."""
@@ -111,7 +114,7 @@
 
 
 class Logs(NamedTuple):
-    """The partitions of the store that an entry works with."""
+    """The partitions of the store that an entry uses."""
 
     configuration: KeyedLog
     endpoints: KeyedLog
--- a/libs/relay/src/clementinebend_relay/models.py
+++ b/libs/relay/src/clementinebend_relay/models.py
@@ -1,6 +1,6 @@
-"""What the direct path works with: routes, teams, endpoints and calls.
+"""Data types of the relay: routes, teams, endpoints, calls and rejections.
 
-Adapters decode the wire into these types. Times are in seconds, amounts in
+Adapters decode wire formats into these types. Times are in seconds and amounts in
 tokens, unless a field says otherwise.
 """
 
@@ -12,7 +12,7 @@
 
 
 class RouteKind(StrEnum):
-    """What a route answers with, and what may be repeated."""
+    """Whether a route returns streams, and whether its requests may be repeated."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -20,16 +20,16 @@
 
 
 class ServiceShare(NamedTuple):
-    """A service, and its weight among those of a route."""
+    """A service and its weight among the services of a route."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Where requests go whose path begins with ``prefix``, and on what terms.
+    """The services and limits of requests whose path begins with ``prefix``.
 
-    ``priority`` is 0 for the most urgent. ``max_attempts`` bounds the
+    A ``priority`` of 0 is the most urgent. ``max_attempts`` limits the number of
     endpoints that one request is sent to.
     """
 
@@ -53,11 +53,12 @@
 
 
 class Service(NamedTuple):
-    """A service's limits: connections to one endpoint, from all entries.
+    """The limits of a service.
 
-    ``event_tokens`` is how many tokens one event of a stream may hold. An endpoint is
-    cold for ``cold_seconds`` after its start and tolerates ``cold_rate`` calls a second
-    in that time; 0 stands for no limit.
+    ``max_connections`` limits the connections from all entries to one endpoint.
+    ``event_tokens`` is the maximum number of tokens in one event of a stream. An
+    endpoint is cold for ``cold_seconds`` after its start, and accepts ``cold_rate``
+    calls per second in that time; 0 means no limit.
     """
 
     name: str
@@ -68,7 +69,7 @@
 
 
 class Team(NamedTuple):
-    """A customer; ``prepaid`` is what it may spend in all, if it is limited."""
+    """A customer; ``prepaid`` is its total budget, or None if it has no limit."""
 
     name: str
     prepaid: int | None
@@ -76,7 +77,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """What a caller may send, and how long it may take. Sizes in bytes."""
+    """Limits on the size and duration of callers' requests; sizes are in bytes."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -87,8 +88,8 @@
 class Configuration(NamedTuple):
     """One version of the operators' configuration.
 
-    ``routes`` holds the routes of each host by path prefix, ``keys`` the team
-    of each bearer key.
+    ``routes`` maps each host and path prefix to a route, and ``keys`` maps each bearer
+    key to the name of its team.
     """
 
     version: int
@@ -100,10 +101,10 @@
 
 
 class Endpoint(NamedTuple):
-    """One boot of an endpoint, as it announced itself.
+    """One boot of an endpoint, as announced by the endpoint.
 
-    ``boot`` tells apart boots that keep the name, if the endpoint says so.
-    ``cold_seconds`` is the remaining time for which it is cold.
+    ``boot`` distinguishes boots under the same name, if the endpoint announces it.
+    ``cold_seconds`` is the remaining time for which the endpoint is cold.
     """
 
     name: str
@@ -129,9 +130,9 @@
 class Call(NamedTuple):
     """A caller's request, decoded.
 
-    ``headers`` are those to pass on. ``time_limit`` is what the caller gives
-    the request, ``parts`` is its prompt. ``last_event`` is the last event
-    that the caller has of a stream that it resumes.
+    ``headers`` are those to forward. ``time_limit`` is the caller's time limit, and
+    ``parts`` is the prompt. ``last_event`` is the ID of the last event that the caller
+    has received, if it resumes a stream.
     """
 
     request_id: str
@@ -154,12 +155,12 @@
 
     @property
     def max_total_tokens(self) -> int:
-        """The most that the call can cost."""
+        """The maximum cost of the call: its prompt and its longest output."""
         return self.prompt_tokens + self.max_output_tokens
 
 
 class Rejection(NamedTuple):
-    """A call that is not admitted; ``retry_after`` says when to come back."""
+    """Why a call gets no endpoint's response; ``retry_after`` is in seconds."""
 
     reason: "Reason"
     message: str
@@ -167,7 +168,7 @@
 
 
 class Reason(StrEnum):
-    """Why a call ends without an endpoint's answer."""
+    """Why a call ends without a response from an endpoint."""
 
     MALFORMED = "malformed"
     UNKNOWN_ROUTE = "unknown_route"
