--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -14,7 +14,7 @@
 from clementinebend_relay.cold_endpoints import ColdEndpoints
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.evacuations import Evacuations
-from clementinebend_relay.interfaces import Unusable
+from clementinebend_relay.interfaces import InvalidRecord
 from clementinebend_relay.leaving_news import LeavingNews
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import CallerLimits, Configuration, Team
@@ -37,17 +37,17 @@
 class NoRecords:
     """Records of a fleet whose entries learn of no endpoint."""
 
-    def configuration(self, value: bytes) -> Unusable:
+    def configuration(self, value: bytes) -> InvalidRecord:
         """Return that there is none."""
-        return Unusable("not modelled")
+        return InvalidRecord("not modelled")
 
     def evacuated_zone(self, key: str) -> None:
         """Return None: evacuations are not modelled."""
         return
 
-    def endpoint(self, name: str, value: bytes) -> Unusable:
+    def endpoint(self, name: str, value: bytes) -> InvalidRecord:
         """Return that there is none."""
-        return Unusable("not modelled")
+        return InvalidRecord("not modelled")
 
 
 class FleetEntry:
--- a/libs/relay/src/clementinebend_relay/configuration.py
+++ b/libs/relay/src/clementinebend_relay/configuration.py
@@ -5,7 +5,7 @@
 
 from clementinebend_platform_client.keyed_log import KeyedRecord
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.interfaces import CONFIGURATION_KEY, Records, Unusable
+from clementinebend_relay.interfaces import CONFIGURATION_KEY, InvalidRecord, Records
 from clementinebend_relay.metrics import configuration_version
 from clementinebend_relay.models import Configuration, Route, Team
 
@@ -25,7 +25,7 @@
         if record.key != CONFIGURATION_KEY or not record.value:
             return
         decoded = self.records.configuration(record.value)
-        if isinstance(decoded, Unusable):
+        if isinstance(decoded, InvalidRecord):
             log_decision("configuration refused", problem=decoded.problem)
         elif self.current is None or decoded.version > self.current.version:
             previous = self.current and self.current.version
--- a/libs/relay/src/clementinebend_relay/dispatch.py
+++ b/libs/relay/src/clementinebend_relay/dispatch.py
@@ -242,7 +242,9 @@
         match sent:
             case Result(tag="ok", ok=answer):
                 state.on_heard(self.clock())
-                verdict = self.protocol.judge(call, answer.status, answer.headers)
+                verdict = self.protocol.classify_response(
+                    call, answer.status, answer.headers
+                )
                 if verdict not in (Verdict.WRONG_ENDPOINT, Verdict.FOREIGN):
                     self._mark_alive(boot_name(endpoint))
                     self._apply_notice(call.request_id, state, answer)
--- a/libs/relay/src/clementinebend_relay/endpoints.py
+++ b/libs/relay/src/clementinebend_relay/endpoints.py
@@ -6,7 +6,7 @@
 from clementinebend_relay.cold_endpoints import ColdEndpoints
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.endpoint_state import EndpointState
-from clementinebend_relay.interfaces import Records, Unusable
+from clementinebend_relay.interfaces import InvalidRecord, Records
 from clementinebend_relay.models import Endpoint, boot_name, endpoint_name
 from clementinebend_routing.outliers import ejection_allowed, is_ejected, on_result
 
@@ -56,7 +56,7 @@
             self._lapse(record.key)
             return
         decoded = self.records.endpoint(record.key, record.value)
-        if isinstance(decoded, Unusable):
+        if isinstance(decoded, InvalidRecord):
             self._refuse(record.key, decoded.problem)
             return
         self.problems.pop(record.key, None)
--- a/libs/relay/src/clementinebend_relay/interfaces.py
+++ b/libs/relay/src/clementinebend_relay/interfaces.py
@@ -56,7 +56,7 @@
     pause: float | None = None
 
 
-class Unusable(NamedTuple):
+class InvalidRecord(NamedTuple):
     """A record that can't be decoded; ``problem`` says why."""
 
     problem: str
@@ -77,7 +77,9 @@
         """Return the head of the request to an endpoint."""
         ...
 
-    def judge(self, call: Call, status: int, headers: Mapping[str, str]) -> Verdict:
+    def classify_response(
+        self, call: Call, status: int, headers: Mapping[str, str]
+    ) -> Verdict:
         """Return what the head of a response says about the call."""
         ...
 
@@ -97,7 +99,7 @@
 class Records(Protocol):
     """Decodes the records that other processes write to the store."""
 
-    def configuration(self, value: bytes) -> Configuration | Unusable:
+    def configuration(self, value: bytes) -> Configuration | InvalidRecord:
         """Return the configuration that a record holds."""
         ...
 
@@ -108,7 +110,7 @@
         """
         ...
 
-    def endpoint(self, name: str, value: bytes) -> Endpoint | Unusable:
+    def endpoint(self, name: str, value: bytes) -> Endpoint | InvalidRecord:
         """Return the endpoint that a record announces."""
         ...
 
--- a/tests/unit/platform/test_http_protocol.py
+++ b/tests/unit/platform/test_http_protocol.py
@@ -121,7 +121,7 @@
 def test_answers_are_judged(
     status: int, headers: dict[str, str], verdict: Verdict
 ) -> None:
-    assert PROTOCOL.judge(call(), status, headers) is verdict
+    assert PROTOCOL.classify_response(call(), status, headers) is verdict
 
 
 @pytest.mark.parametrize("reason", list(Reason))
--- a/tests/unit/platform/test_records.py
+++ b/tests/unit/platform/test_records.py
@@ -16,7 +16,7 @@
 from pytest import mark
 
 from clementinebend_platform.records import PlatformRecords
-from clementinebend_relay.interfaces import Unusable
+from clementinebend_relay.interfaces import InvalidRecord
 from clementinebend_relay.models import Configuration, Endpoint, RouteKind
 
 RECORDS = PlatformRecords()
@@ -120,7 +120,9 @@
 
 @mark.parametrize("name", [name for name in SERVER if name != "born"])
 def test_an_entry_without_a_field_names_no_endpoint(name: str) -> None:
-    assert isinstance(RECORDS.endpoint("i-1", encode(without(SERVER, name))), Unusable)
+    assert isinstance(
+        RECORDS.endpoint("i-1", encode(without(SERVER, name))), InvalidRecord
+    )
 
 
 @mark.parametrize("name", list(SERVER))
@@ -129,12 +131,12 @@
     if isinstance(value, str) and name in ("service", "zone", "version"):
         return
     wrong = encode({**SERVER, name: value})
-    assert isinstance(RECORDS.endpoint("i-1", wrong), Unusable)
+    assert isinstance(RECORDS.endpoint("i-1", wrong), InvalidRecord)
 
 
 @given(binary(max_size=200))
 def test_any_bytes_give_an_endpoint_or_a_reason(value: bytes) -> None:
-    assert isinstance(RECORDS.endpoint("i-1", value), Endpoint | Unusable)
+    assert isinstance(RECORDS.endpoint("i-1", value), Endpoint | InvalidRecord)
 
 
 @given(dictionaries(sampled_from(list(SERVER)), JSON_VALUES))
@@ -147,10 +149,10 @@
 
 
 def test_what_cannot_be_decoded_is_told() -> None:
-    assert isinstance(RECORDS.configuration(b"{"), Unusable)
-    assert isinstance(RECORDS.endpoint("i-1", encode({"service": 1})), Unusable)
+    assert isinstance(RECORDS.configuration(b"{"), InvalidRecord)
+    assert isinstance(RECORDS.endpoint("i-1", encode({"service": 1})), InvalidRecord)
     wrong = encode({**SERVER, "address": "nowhere"})
-    assert isinstance(RECORDS.endpoint("i-1", wrong), Unusable)
+    assert isinstance(RECORDS.endpoint("i-1", wrong), InvalidRecord)
 
 
 def test_the_cold_time_and_rate_are_read() -> None:
@@ -167,7 +169,7 @@
 @mark.parametrize("cold", [-1, "soon", None])
 def test_an_announcement_with_an_invalid_cold_time_is_unusable(cold: object) -> None:
     record = encode({**SERVER, "cold_remaining_ms": cold})
-    assert isinstance(RECORDS.endpoint("i", record), Unusable)
+    assert isinstance(RECORDS.endpoint("i", record), InvalidRecord)
 
 
 def test_the_zone_of_an_evacuation_is_read() -> None:
--- a/tests/unit/relay/test_endpoints.py
+++ b/tests/unit/relay/test_endpoints.py
@@ -11,7 +11,7 @@
     Unread,
 )
 from clementinebend_relay.endpoints import ALL_LEAVE_PAUSE, EndpointTable
-from clementinebend_relay.interfaces import Unusable
+from clementinebend_relay.interfaces import InvalidRecord
 from clementinebend_relay.models import Configuration, Endpoint
 from clementinebend_routing.silence import ANNOUNCED_LATE, SILENT_SECONDS
 from clementinebend_transport.client_connection import Address
@@ -29,10 +29,10 @@
     def evacuated_zone(self, key: str) -> str | None:
         raise NotImplementedError
 
-    def endpoint(self, name: str, value: bytes) -> Endpoint | Unusable:
+    def endpoint(self, name: str, value: bytes) -> Endpoint | InvalidRecord:
         port, *more = value.decode().split()
         if not port.isdecimal():
-            return Unusable("no port")
+            return InvalidRecord("no port")
         service = more[0] if more else "pool"
         boot = int(more[1]) if len(more) > 1 else None
         address = Address("10.0.0.1", int(port))
