--- a/libs/relay/src/clementinebend_relay/configuration.py
+++ b/libs/relay/src/clementinebend_relay/configuration.py
@@ -5,7 +5,11 @@
 
 from clementinebend_platform_client.keyed_log import KeyedRecord
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.interfaces import CONFIGURATION_KEY, InvalidRecord, Records
+from clementinebend_relay.interfaces import (
+    CONFIGURATION_KEY,
+    InvalidRecord,
+    RecordDecoder,
+)
 from clementinebend_relay.metrics import configuration_version
 from clementinebend_relay.models import Configuration, Route, Team
 
@@ -14,7 +18,7 @@
     """Takes records, keeps the newest version, and tells ``on_change`` of it."""
 
     def __init__(
-        self, records: Records, on_change: Callable[[Configuration], Any]
+        self, records: RecordDecoder, on_change: Callable[[Configuration], Any]
     ) -> None:
         self.records = records
         self.on_change = on_change
--- a/libs/relay/src/clementinebend_relay/endpoints.py
+++ b/libs/relay/src/clementinebend_relay/endpoints.py
@@ -6,7 +6,7 @@
 from clementinebend_relay.cold_endpoints import ColdEndpoints
 from clementinebend_relay.decisions import log_decision
 from clementinebend_relay.endpoint_state import EndpointState
-from clementinebend_relay.interfaces import InvalidRecord, Records
+from clementinebend_relay.interfaces import InvalidRecord, RecordDecoder
 from clementinebend_relay.models import Endpoint, boot_name, endpoint_name
 from clementinebend_routing.outliers import ejection_allowed, is_ejected, on_result
 
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        records: Records,
+        records: RecordDecoder,
         cold_endpoints: ColdEndpoints,
         clock: Callable[[], float],
     ) -> None:
--- a/libs/relay/src/clementinebend_relay/evacuations.py
+++ b/libs/relay/src/clementinebend_relay/evacuations.py
@@ -13,7 +13,7 @@
 from clementinebend_platform_client.keyed_log import KeyedRecord
 from clementinebend_relay.announcing import Directory
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.interfaces import Records
+from clementinebend_relay.interfaces import RecordDecoder
 from clementinebend_relay.messages import EvacuationMessage, Message
 from clementinebend_relay.metrics import evacuated_zones
 from clementinebend_transport.client_connection import Address
@@ -48,7 +48,7 @@
     def __init__(
         self,
         boot: str,
-        records: Records,
+        records: RecordDecoder,
         directory: Directory,
         send_all: Callable[[Message, Iterable[Address]], None],
         on_change: Callable[[str, bool], None],
--- a/libs/relay/src/clementinebend_relay/interfaces.py
+++ b/libs/relay/src/clementinebend_relay/interfaces.py
@@ -96,7 +96,7 @@
         ...
 
 
-class Records(Protocol):
+class RecordDecoder(Protocol):
     """Decodes the records that other processes write to the store."""
 
     def configuration(self, value: bytes) -> Configuration | InvalidRecord:
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -20,7 +20,7 @@
 from clementinebend_relay.evacuations import Evacuations
 from clementinebend_relay.following import DIRECTORY_WITHIN, CombinedTable, Follower
 from clementinebend_relay.handler import CallHandler
-from clementinebend_relay.interfaces import HttpProtocol, Logs, Records
+from clementinebend_relay.interfaces import HttpProtocol, Logs, RecordDecoder
 from clementinebend_relay.leaving_news import LeavingNews
 from clementinebend_relay.mark_keeper import MarkKeeper
 from clementinebend_relay.messages import Message
@@ -68,7 +68,7 @@
         settings: RelaySettings,
         boot: str,
         protocol: HttpProtocol,
-        records: Records,
+        records: RecordDecoder,
         logs: Logs,
         paths: StorePaths,
         probe: Probe,
