--- a/libs/bench/src/clementinebend_bench/models/mark_fleet.py
+++ b/libs/bench/src/clementinebend_bench/models/mark_fleet.py
@@ -14,14 +14,14 @@
 from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.evacuations import Evacuations
-from clementinebend_relay.interfaces import Unusable
+from clementinebend_relay.interfaces import InvalidRecord
 from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import CallerLimits, Configuration, Team
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.quarantine import Quarantine
 from clementinebend_relay.quarantine_sync import QuarantineSync
-from clementinebend_relay.queue_desk import QueueDesk
+from clementinebend_relay.queue_keeper import QueueKeeper
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.receiving import receive
 from clementinebend_relay.witness import WitnessServer
@@ -37,17 +37,17 @@
 class NoRecords:
     """Records of a fleet whose entries learn of no endpoint."""
 
-    def configuration(self, value: bytes) -> Unusable:
+    def configuration(self, value: bytes) -> InvalidRecord:
         """Return that there is none."""
-        return Unusable("not modelled")
+        return InvalidRecord("not modelled")
 
     def evacuated_zone(self, key: str) -> None:
         """Return None: evacuations are not modelled."""
         return
 
-    def endpoint(self, name: str, value: bytes) -> Unusable:
+    def endpoint(self, name: str, value: bytes) -> InvalidRecord:
         """Return that there is none."""
-        return Unusable("not modelled")
+        return InvalidRecord("not modelled")
 
 
 class FleetEntry:
@@ -77,7 +77,7 @@
             clock,
         )
         self.probes = QueueProbes(Directory(), self.directory, self.send, clock)
-        self.queues = QueueDesk(self.boot, self.send, clock)
+        self.queues = QueueKeeper(self.boot, self.send, clock)
         self.quarantine = Quarantine(clock)
         self.news = QuarantineSync(
             self.boot,
--- a/libs/relay/src/clementinebend_relay/attempts.py
+++ b/libs/relay/src/clementinebend_relay/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of a call until one has an answer worth relaying."""
+"""Sends a call to endpoints, one after another, until one has a usable response."""
 
 from asyncio import sleep
 from collections.abc import Callable
@@ -7,7 +7,12 @@
 
 from clementinebend_relay.bodies import read_body
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.dispatch import Dispatcher, Lost, NotSent, Opened
+from clementinebend_relay.dispatch import (
+    Dispatcher,
+    NotSent,
+    ResponseLost,
+    ResponseStarted,
+)
 from clementinebend_relay.endpoint_state import EndpointState
 from clementinebend_relay.interfaces import Verdict
 from clementinebend_relay.metrics import broken_answers
@@ -19,42 +24,49 @@
 from clementinebend_transport.http_client import OpenAnswer
 from clementinebend_transport.http_types import Response
 
-FIRST_PART = 0.5
-"""Part of the time left that an attempt gets while another may follow it."""
+RETRYABLE_ATTEMPT_SHARE = 0.5
+"""Share of the remaining time that an attempt gets while another may follow it."""
 
-STREAM_TARGETS = 2.0
-"""Latency targets after which a stream without a head is tried elsewhere."""
+STREAM_HEAD_TARGETS = 2.0
+"""Timeout for the head of a stream before the call is sent to another endpoint.
+
+In multiples of the route's latency target.
+"""
 
 MAX_FAILURE_BYTES = 256 * 1024
-"""The largest body of an answer that is no success: it is kept while retrying,
-or read so that its connection serves again."""
+"""Maximum size in bytes of the body of an unsuccessful response.
+
+The body is kept while the call is retried, or read to its end so that the connection
+can be reused.
+"""
 
-UNSERVED_TRIES = 3
-"""Endpoints that may turn out unreachable, or to have ended, before a call is given
-up. They are no attempts: no endpoint of the call's service was asked to run it."""
+MAX_MISSING_ENDPOINTS = 3
+"""Number of unreachable or ended endpoints after which a call is given up.
 
+They don't count as attempts: no endpoint of the call's service was asked to run it.
+"""
 
 RATE_LIMIT_WAIT = 1.0
-"""Longest time in seconds that an attempt waits while all endpoints asked about are at
+"""Longest time in seconds that an attempt waits while all queried endpoints are at
 their call rate limit."""
 
 RATE_LIMIT_PAUSE = 0.05
 """Seconds between two surveys of an attempt that waits for the rate limit."""
 
 
-class Running(NamedTuple):
-    """An attempt whose answer is a success so far.
+class OpenAttempt(NamedTuple):
+    """An attempt whose response has a successful head.
 
-    ``hold`` ends the attempt's account at its endpoint when it is closed.
+    Closing ``cleanup`` removes the attempt from those in flight at its endpoint.
     """
 
     state: EndpointState
     answer: OpenAnswer
-    hold: ExitStack
+    cleanup: ExitStack
 
 
 class Attempts:
-    """Sends a call to one endpoint after the other."""
+    """Sends a call to one endpoint after another."""
 
     def __init__(
         self,
@@ -67,23 +79,25 @@
         self.news = news
         self.clock = clock
 
-    async def next(self, progress: CallProgress) -> Running | None:
-        """Return an attempt with a successful head, none if there is no more.
+    async def next(self, progress: CallProgress) -> OpenAttempt | None:
+        """Return the next attempt whose response has a successful head, or None.
 
-        What the last endpoint that failed had to say is then in ``progress``.
+        If there is none, ``progress`` holds the reason and the last failure response.
         """
-        while progress.unserved < UNSERVED_TRIES and self._may_go_on(progress):
+        while progress.missing_endpoints < MAX_MISSING_ENDPOINTS and self._may_attempt(
+            progress
+        ):
             fingerprint = progress.admitted.fingerprint
             progress.refusal = await self.quarantine.wait_for_turn(
                 fingerprint, progress.deadline
             )
             if progress.refusal is not None:
                 return None
-            hold = ExitStack()
-            hold.enter_context(self.quarantine.running(fingerprint))
+            cleanup = ExitStack()
+            cleanup.enter_context(self.quarantine.running(fingerprint))
             running = None
             try:
-                placement = await self._place(progress)
+                placement = await self._choose_placement(progress)
                 if placement is None:
                     service = progress.admitted.service.name
                     progress.pause = self.dispatcher.endpoints.retry_delay(service)
@@ -91,23 +105,23 @@
                 state = placement.state
                 progress.reports = placement.reports
                 sending = self.dispatcher.in_flight(progress.admitted, placement)
-                hold.enter_context(sending)
+                cleanup.enter_context(sending)
                 outcome = await self._send(progress, state)
-                if _is_unserved(outcome):
-                    progress.unserved += 1
+                if _is_endpoint_missing(outcome):
+                    progress.missing_endpoints += 1
                     progress.attempts -= 1
                 if isinstance(outcome, NotSent):
                     continue
-                running = await self._judge(progress, outcome, hold)
+                running = await self._relayable_attempt(progress, outcome, cleanup)
             finally:
                 if running is None:
-                    hold.close()
+                    cleanup.close()
             if running is not None:
                 return running
         return None
 
     def on_sound(self, progress: CallProgress) -> None:
-        """Note that a call did not end its endpoint: it has run to its end, or long."""
+        """Record that a call completed, or ran long, without ending its endpoint."""
         if not progress.is_sound:
             progress.is_sound = True
             self.news.on_sound(progress.admitted.fingerprint)
@@ -115,7 +129,7 @@
     def on_broken(
         self, progress: CallProgress, state: EndpointState, problem: str
     ) -> None:
-        """Note that an endpoint ended the connection before its answer was whole."""
+        """Record that an endpoint closed the connection within its response."""
         admitted = progress.admitted
         broken_answers.labels(admitted.service.name).inc()
         log_decision(
@@ -134,8 +148,8 @@
             ends = self.dispatcher.ends
             ends.on_broken(state, admitted.fingerprint, progress.sent_at)
 
-    async def _place(self, progress: CallProgress) -> Placement | None:
-        """Return where the next attempt goes, by a survey that is still usable.
+    async def _choose_placement(self, progress: CallProgress) -> Placement | None:
+        """Return the endpoint for the next attempt, from a survey that is still valid.
 
         Waits up to ``RATE_LIMIT_WAIT`` while the endpoints are at their rate limit.
         """
@@ -155,7 +169,7 @@
                 await sleep(RATE_LIMIT_PAUSE)
         return survey.placement
 
-    def _may_go_on(self, progress: CallProgress) -> bool:
+    def _may_attempt(self, progress: CallProgress) -> bool:
         if progress.attempts_left <= 0 or self.clock() >= progress.deadline:
             return False
         if progress.may_have_run and not progress.admitted.route.may_repeat:
@@ -167,7 +181,7 @@
 
     async def _send(
         self, progress: CallProgress, state: EndpointState
-    ) -> Opened | NotSent | Lost:
+    ) -> ResponseStarted | NotSent | ResponseLost:
         progress.attempts += 1
         progress.sent_at = self.clock()
         progress.attempt_event_at = None
@@ -175,48 +189,53 @@
         progress.tried.append(state.endpoint.name)
         sent = state.unread[progress.admitted.call.request_id]
         progress.ahead, progress.unread = sent.ahead, sent.tokens
-        was_unsure = progress.may_have_run
+        may_have_run_before = progress.may_have_run
         progress.may_have_run = True
         outcome = await self.dispatcher.open(
             progress.admitted,
             state,
             progress.deadline,
-            self._head_by(progress),
+            self._head_deadline(progress),
             progress.last_event,
         )
         progress.sent += not isinstance(outcome, NotSent)
         if isinstance(outcome, NotSent):
-            progress.may_have_run = was_unsure
+            progress.may_have_run = may_have_run_before
             progress.problem = outcome.problem
-        elif isinstance(outcome, Lost):
+        elif isinstance(outcome, ResponseLost):
             progress.problem = outcome.problem
             if outcome.broke_off:
                 self.on_broken(progress, state, outcome.problem)
         elif outcome.verdict in (Verdict.NOT_RUN, Verdict.WRONG_ENDPOINT):
-            progress.may_have_run = was_unsure
+            progress.may_have_run = may_have_run_before
         return outcome
 
-    def _head_by(self, progress: CallProgress) -> float:
-        """Return until when an attempt may take to the head of its answer."""
+    def _head_deadline(self, progress: CallProgress) -> float:
+        """Return the time by which the head of an attempt's response must arrive."""
         route = progress.admitted.route
         now = self.clock()
         if not route.may_repeat or progress.attempts_left <= 0:
             return progress.deadline
         if route.kind is RouteKind.STREAM:
-            return min(progress.deadline, now + STREAM_TARGETS * route.latency_target)
-        return now + (progress.deadline - now) * FIRST_PART
+            return min(
+                progress.deadline, now + STREAM_HEAD_TARGETS * route.latency_target
+            )
+        return now + (progress.deadline - now) * RETRYABLE_ATTEMPT_SHARE
 
-    async def _judge(
-        self, progress: CallProgress, outcome: Opened | Lost, hold: ExitStack
-    ) -> Running | None:
-        """Return the attempt if its answer is to be relayed."""
-        if isinstance(outcome, Lost):
+    async def _relayable_attempt(
+        self,
+        progress: CallProgress,
+        outcome: ResponseStarted | ResponseLost,
+        cleanup: ExitStack,
+    ) -> OpenAttempt | None:
+        """Return the attempt if its response can be relayed, else record why not."""
+        if isinstance(outcome, ResponseLost):
             return None
         name = outcome.state.endpoint.name
         call = progress.admitted.call
         match outcome.verdict:
             case Verdict.SUCCESS:
-                return Running(outcome.state, outcome.answer, hold)
+                return OpenAttempt(outcome.state, outcome.answer, cleanup)
             case Verdict.WRONG_ENDPOINT:
                 progress.problem = "another endpoint has the address"
                 outcome.answer.close()
@@ -230,7 +249,7 @@
                 self.dispatcher.endpoints.on_end(outcome.state, ok=False)
             case Verdict.FAILED:
                 progress.problem = "the endpoint failed"
-                progress.failure = await self._failure(outcome.answer, progress)
+                progress.failure = await self._read_failure(outcome.answer, progress)
                 self.dispatcher.endpoints.on_end(outcome.state, ok=False)
         log_decision(
             "attempt refused",
@@ -241,7 +260,7 @@
         )
         return None
 
-    async def _failure(
+    async def _read_failure(
         self, answer: OpenAnswer, progress: CallProgress
     ) -> Response | None:
         body = await read_body(answer, progress.deadline, MAX_FAILURE_BYTES)
@@ -252,8 +271,8 @@
         return Response(answer.status, headers, body.ok)
 
 
-def _is_unserved(outcome: Opened | NotSent | Lost) -> bool:
-    """Tell whether the endpoint was not there to take the call."""
-    if isinstance(outcome, Opened):
+def _is_endpoint_missing(outcome: ResponseStarted | NotSent | ResponseLost) -> bool:
+    """Tell whether the endpoint was unreachable or has left its address."""
+    if isinstance(outcome, ResponseStarted):
         return outcome.verdict is Verdict.WRONG_ENDPOINT
     return isinstance(outcome, NotSent)
--- a/libs/relay/src/clementinebend_relay/bodies.py
+++ b/libs/relay/src/clementinebend_relay/bodies.py
@@ -1,4 +1,4 @@
-"""Reading of an endpoint's answer as a whole, within bounds of time and size."""
+"""Reads complete response bodies from endpoints, with limits on time and size."""
 
 from asyncio import timeout_at
 from typing import NamedTuple
@@ -10,30 +10,30 @@
 
 
 class BodyFailure(NamedTuple):
-    """No whole body; ``broke_off`` tells that the connection ended within it."""
+    """Why a body is incomplete; ``broke_off`` is set if the connection closed early."""
 
     problem: str
     broke_off: bool = False
 
 
 async def read_body(
-    answer: OpenAnswer, deadline: float, most: int
+    answer: OpenAnswer, deadline: float, max_bytes: int
 ) -> Result[bytes, BodyFailure]:
-    """Return the body of an answer of at most ``most`` bytes, or what went wrong.
+    """Return the body of a response, of at most ``max_bytes``, or why it can't be read.
 
-    ``deadline`` is a time of the event loop. An answer that is not read to its
-    end is closed, as its connection cannot serve again.
+    ``deadline`` is in the time of the event loop. A response that is not read to its
+    end is closed, as its connection can't be reused.
     """
-    pieces: list[bytes] = []
+    chunks_read: list[bytes] = []
     size = 0
     is_whole = False
     try:
         async with timeout_at(deadline):
-            async for piece in answer.chunks:
-                pieces.append(piece)
-                size += len(piece)
-                if size > most:
-                    problem = f"the answer is larger than {most} bytes"
+            async for chunk in answer.chunks:
+                chunks_read.append(chunk)
+                size += len(chunk)
+                if size > max_bytes:
+                    problem = f"the answer is larger than {max_bytes} bytes"
                     return Error(BodyFailure(problem))
         is_whole = True
     except TimeoutError:
@@ -43,4 +43,4 @@
     finally:
         if not is_whole:
             answer.close()
-    return Ok(b"".join(pieces))
+    return Ok(b"".join(chunks_read))
--- a/libs/relay/src/clementinebend_relay/configuration.py
+++ b/libs/relay/src/clementinebend_relay/configuration.py
@@ -5,7 +5,11 @@
 
 from clementinebend_platform_client.keyed_log import KeyedRecord
 from clementinebend_relay.decisions import log_decision
-from clementinebend_relay.interfaces import CONFIGURATION_KEY, Records, Unusable
+from clementinebend_relay.interfaces import (
+    CONFIGURATION_KEY,
+    InvalidRecord,
+    RecordDecoder,
+)
 from clementinebend_relay.metrics import configuration_version
 from clementinebend_relay.models import Configuration, Route, Team
 
@@ -14,7 +18,7 @@
     """Keeps the newest configuration and calls ``on_change`` with each newer one."""
 
     def __init__(
-        self, records: Records, on_change: Callable[[Configuration], Any]
+        self, records: RecordDecoder, on_change: Callable[[Configuration], Any]
     ) -> None:
         self.records = records
         self.on_change = on_change
@@ -25,7 +29,7 @@
         if record.key != CONFIGURATION_KEY or not record.value:
             return
         decoded = self.records.configuration(record.value)
-        if isinstance(decoded, Unusable):
+        if isinstance(decoded, InvalidRecord):
             log_decision("configuration refused", problem=decoded.problem)
         elif self.current is None or decoded.version > self.current.version:
             previous = self.current and self.current.version
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -19,7 +19,7 @@
 from clementinebend_relay.endpoints import EndpointTable
 from clementinebend_relay.evacuations import Evacuations
 from clementinebend_relay.handler import CallHandler
-from clementinebend_relay.interfaces import HttpProtocol, Logs, Records
+from clementinebend_relay.interfaces import HttpProtocol, Logs, RecordDecoder
 from clementinebend_relay.leaving_notifier import LeavingNotifier
 from clementinebend_relay.messages import Message
 from clementinebend_relay.models import Configuration
@@ -30,15 +30,15 @@
 )
 from clementinebend_relay.peers import Peers
 from clementinebend_relay.plain import PlainRelay
+from clementinebend_relay.prompt_queues import PromptQueues
 from clementinebend_relay.quarantine import Quarantine
 from clementinebend_relay.quarantine_sync import QuarantineSync
-from clementinebend_relay.queue_desk import QueueDesk
+from clementinebend_relay.queue_keeper import QueueKeeper
 from clementinebend_relay.queue_probes import QueueProbes
 from clementinebend_relay.quota_manager import QuotaManager
 from clementinebend_relay.receiving import receive
 from clementinebend_relay.settings import RelaySettings
 from clementinebend_relay.streams import StreamRelay
-from clementinebend_relay.waiting_room import WaitingRoom
 from clementinebend_relay.witness import WitnessServer
 from clementinebend_relay.witnesses import Witnesses
 from clementinebend_routing.sessions import SessionTracker
@@ -72,7 +72,7 @@
         settings: RelaySettings,
         boot: str,
         protocol: HttpProtocol,
-        records: Records,
+        records: RecordDecoder,
         logs: Logs,
         paths: StorePaths,
         probe: Probe,
@@ -111,7 +111,7 @@
             clock,
         )
         self.probes = QueueProbes(self.gateways, self.entries, self._send, clock)
-        self.queues = QueueDesk(boot, self._send, clock)
+        self.queues = QueueKeeper(boot, self._send, clock)
         self.witnesses.is_needed = self.peers.homes.is_candidate
         quarantine = Quarantine(clock)
         self.sync = QuarantineSync(
@@ -174,7 +174,7 @@
             self.dispatcher,
             PlainRelay(attempts, self.dispatcher),
             StreamRelay(attempts, self.dispatcher, clock),
-            WaitingRoom(self.dispatcher, clock),
+            PromptQueues(self.dispatcher, clock),
             self.known,
             clock,
         )
--- a/libs/relay/src/clementinebend_relay/waiting_room.py
+++ b/libs/relay/src/clementinebend_relay/prompt_queues.py
@@ -1,6 +1,7 @@
-"""Where prompts wait until an endpoint has little to read before them.
+"""Queues in which prompts wait until an endpoint can read them soon.
 
-The decisions are those of ``clementinebend_admission.waiting``; here are the waits.
+The scheduling decisions are made in ``clementinebend_admission.waiting``; this module
+does the waiting.
 """
 
 from asyncio import Event, timeout
@@ -26,29 +27,32 @@
 from clementinebend_relay.models import Reason, Rejection
 from clementinebend_relay.survey import Survey
 
-LOOK_SECONDS = 0.03
-"""How often the first prompt that waits looks for room: an endpoint reads some 1,500
-tokens meanwhile, and a look costs eight datagrams."""
+ROOM_CHECK_SECONDS = 0.03
+"""Interval in seconds at which the first waiting prompt checks for room.
+
+An endpoint reads about 1,500 tokens in that time, and a check costs eight datagrams.
+"""
 
 
-class WaitingRoom:
-    """The prompts that wait in this entry, by service.
+class PromptQueues:
+    """The prompts waiting in this entry, by service.
 
-    Only the first of a service looks for room; the next one does so once it has gone.
+    Only the first prompt of a service checks for room; once it has left the queue, the
+    next one does.
     """
 
     def __init__(self, dispatcher: Dispatcher, clock: Callable[[], float]) -> None:
         self.dispatcher = dispatcher
         self.clock = clock
         self.waiters: defaultdict[str, dict[str, WaitingPrompt]] = defaultdict(dict)
-        self.rates: defaultdict[str, StartRate] = defaultdict(StartRate)
-        self.targets: dict[str, float] = {}
-        self.left = Event()
+        self.start_rates: defaultdict[str, StartRate] = defaultdict(StartRate)
+        self.min_latency_targets: dict[str, float] = {}
+        self.waiter_left = Event()
 
     async def enter(self, admitted: Admitted) -> Survey | Rejection | None:
-        """Return once a call may be sent, or why it is turned away unsent.
+        """Wait until a call may be sent; return its survey, or why it is rejected.
 
-        With it comes what was found out about endpoints, if the call has a prompt.
+        Returns None at once for a call without a prompt, as it never waits.
         """
         if not admitted.call.parts:
             return None
@@ -63,12 +67,12 @@
         )
         if not self.waiters[service]:
             survey = await self.dispatcher.survey(admitted, ())
-            if self._is_room(admitted, survey):
-                self._start(service, prompt)
+            if self._has_room(admitted, survey):
+                self._record_start(service, prompt)
                 return survey
         wait = self._expected_wait(service, prompt)
         if not can_start_in_time(prompt, wait, now):
-            return self._refuse(prompt, service, wait)
+            return self._reject(prompt, service, wait)
         return await self._wait(admitted, prompt)
 
     async def _wait(
@@ -81,41 +85,45 @@
             while (now := self.clock()) < prompt.waits_until:
                 if next_prompt(waiters.values(), now) == prompt:
                     survey = await self.dispatcher.survey(admitted, ())
-                    if self._is_room(admitted, survey):
-                        self._start(service, prompt)
+                    if self._has_room(admitted, survey):
+                        self._record_start(service, prompt)
                         self._log_wait(prompt)
                         return survey
-                await self._pause()
+                await self._wait_for_check()
         finally:
             del waiters[prompt.request]
-            self.left.set()
-            self.left.clear()
+            self.waiter_left.set()
+            self.waiter_left.clear()
         wait = self._expected_wait(service, prompt)
-        return self._refuse(prompt, service, wait)
+        return self._reject(prompt, service, wait)
 
     def _expected_wait(self, service: str, prompt: WaitingPrompt) -> float:
         others = list(self.waiters[service].values())
-        return expected_wait(prompt, others, self.rates[service], self.clock())
+        return expected_wait(prompt, others, self.start_rates[service], self.clock())
 
-    async def _pause(self) -> None:
-        """Wait a moment, or until one that waits has left."""
+    async def _wait_for_check(self) -> None:
+        """Wait for the next check, or until a waiting prompt has left its queue."""
         with suppress(TimeoutError):
-            async with timeout(LOOK_SECONDS):
-                await self.left.wait()
+            async with timeout(ROOM_CHECK_SECONDS):
+                await self.waiter_left.wait()
 
-    def _is_room(self, admitted: Admitted, survey: Survey) -> bool:
-        """Tell whether little enough lies before a prompt at its best endpoint."""
+    def _has_room(self, admitted: Admitted, survey: Survey) -> bool:
+        """Tell whether little enough is ahead of a prompt at its best endpoint."""
         if survey.is_rate_limited:
             return False
         service = admitted.service.name
         target = admitted.route.latency_target
-        target = self.targets[service] = min(target, self.targets.get(service, target))
+        target = self.min_latency_targets[service] = min(
+            target, self.min_latency_targets.get(service, target)
+        )
         ahead = survey.seconds_ahead
         return ahead is None or ahead <= LONGEST_AHEAD_PART * target
 
-    def _start(self, service: str, prompt: WaitingPrompt) -> None:
+    def _record_start(self, service: str, prompt: WaitingPrompt) -> None:
         now = self.clock()
-        self.rates[service] = on_start(self.rates[service], prompt.tokens, now)
+        self.start_rates[service] = on_start(
+            self.start_rates[service], prompt.tokens, now
+        )
 
     def _log_wait(self, prompt: WaitingPrompt) -> None:
         now = self.clock()
@@ -126,13 +134,13 @@
             is_late=now > prompt.on_time_until,
         )
 
-    def _refuse(self, prompt: WaitingPrompt, service: str, wait: float) -> Rejection:
+    def _reject(self, prompt: WaitingPrompt, service: str, wait: float) -> Rejection:
         log_decision(
             "prompt turned away",
             request_id=prompt.request,
             waiting=len(self.waiters[service]),
             expected_wait_s=round(wait, 3),
-            tokens_per_s=round(self.rates[service].tokens),
+            tokens_per_s=round(self.start_rates[service].tokens),
         )
         message = "more prompts wait than can start before their callers leave"
         return Rejection(Reason.OVERLOADED, message, return_after(wait, random()))
--- a/libs/relay/src/clementinebend_relay/queue_desk.py
+++ b/libs/relay/src/clementinebend_relay/queue_keeper.py
@@ -1,4 +1,4 @@
-"""The queues that this process keeps for all entries, and its answers to them."""
+"""Keeps endpoints' queues for all entries, and answers their probes."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -18,16 +18,17 @@
 from clementinebend_routing.endpoint_queue import EndpointQueue
 from clementinebend_transport.client_connection import Address
 
-QUEUES_KEPT = 64
-"""Boots of endpoints whose queues one process keeps: on one host there are a few, and
-each boot that ended leaves one behind."""
+MAX_QUEUES = 64
+"""Maximum number of endpoint boots whose queues one process keeps.
 
+A host runs a few endpoints, and each ended boot leaves one queue behind.
+"""
 
 Item = TypeVar("Item")
 
 
-class QueueDesk:
-    """Keeps queues from what entries tell, in the memory of this boot."""
+class QueueKeeper:
+    """Keeps queues as entries report their calls, in memory only."""
 
     def __init__(
         self,
@@ -40,12 +41,12 @@
         self.clock = clock
         self.queues: OrderedDict[str, EndpointQueue] = OrderedDict()
         self.recent_calls: OrderedDict[str, RecentCalls] = OrderedDict()
-        """By endpoint name, as entries may know different boots of an endpoint."""
+        """By endpoint name, as entries may know different boots of one endpoint."""
 
     def on_message(self, message: QueueMessage, sender: Address) -> None:
-        """Take what an entry tells, or answer what it asks."""
-        queue = self._queue(message.endpoint)
-        recent = self._recent_calls(message.endpoint)
+        """Apply an entry's report of a call, or answer its probe."""
+        queue = self._queue_of(message.endpoint)
+        recent = self._recent_calls_of(message.endpoint)
         now = self.clock()
         match message:
             case ProbeMessage():
@@ -68,10 +69,10 @@
             case EndedMessage():
                 queue.on_ended(message.request)
 
-    def _queue(self, endpoint: str) -> EndpointQueue:
+    def _queue_of(self, endpoint: str) -> EndpointQueue:
         return _get_or_create(self.queues, endpoint, EndpointQueue)
 
-    def _recent_calls(self, endpoint: str) -> RecentCalls:
+    def _recent_calls_of(self, endpoint: str) -> RecentCalls:
         name = endpoint_name(endpoint)
         return _get_or_create(
             self.recent_calls, name, lambda: RecentCalls(self.clock())
@@ -81,10 +82,10 @@
 def _get_or_create(
     items: OrderedDict[str, Item], name: str, create: Callable[[], Item]
 ) -> Item:
-    """Return the item of a name, and evict the least recently used one if needed."""
+    """Return the item of a name; evict the least recently used one above the limit."""
     if name not in items:
         items[name] = create()
     items.move_to_end(name)
-    if len(items) > QUEUES_KEPT:
+    if len(items) > MAX_QUEUES:
         items.popitem(last=False)
     return items[name]
--- a/libs/relay/src/clementinebend_relay/queue_probes.py
+++ b/libs/relay/src/clementinebend_relay/queue_probes.py
@@ -1,4 +1,4 @@
-"""Questions to the processes that keep endpoints' queues, and what they are told."""
+"""Probes of the processes that keep endpoints' queues, and reports to them."""
 
 from asyncio import Future, get_running_loop, timeout
 from collections.abc import Callable, Iterable
@@ -24,24 +24,26 @@
 from clementinebend_routing.sessions import PromptPart
 from clementinebend_transport.client_connection import Address
 
-PROBE_SECONDS = 0.015
-"""How long a call waits for reports: they take some 3 ms, and a fortieth of a latency
-target of 0.6 s is little beside what a good choice spares."""
+PROBE_TIMEOUT = 0.015
+"""How long a call waits for queue reports, in seconds.
 
-SUSPECTED_PAUSE = 0.5
-"""Seconds between questions to a process that is taken for gone, to notice that it is
-back."""
+A report takes about 3 ms. The timeout is a fortieth of a latency target of 0.6 s, far
+less than choosing a good endpoint saves.
+"""
 
+SUSPECTED_RETRY_SECONDS = 0.5
+"""Interval in seconds at which a suspected keeper is probed, to detect its return."""
 
-KEEPERS_REMEMBERED = 10_000
-"""Endpoints of which it is remembered who keeps their queue, some 2 MB."""
+MAX_CACHED_KEEPERS = 10_000
+"""Maximum number of endpoints whose queue keeper is cached, about 2 MB."""
 
 
 class QueueProbes:
-    """Asks about endpoints' queues, and tells of this entry's calls there.
+    """Probes endpoints' queues, and reports this entry's calls to their keepers.
 
-    The queue of an endpoint is kept by the gateway on its host, else by one gateway
-    that all entries find alike, and where there are none by an entry.
+    The queue of an endpoint is kept by the gateway on its host. Without one there, all
+    entries choose the same gateway by rendezvous hashing, or the same entry if there
+    are no gateways.
     """
 
     def __init__(
@@ -56,17 +58,17 @@
         self.send = send
         self.clock = clock
         self.numbers = count(1)
-        self.open: dict[int, tuple[Endpoint, Future[QueueReport]]] = {}
+        self.pending: dict[int, tuple[Endpoint, Future[QueueReport]]] = {}
         self.suspicions = FailureDetector()
-        self.tried_at: dict[str, float] = {}
+        self.retried_at: dict[str, float] = {}
         self.silent: set[str] = set()
         self.keepers: dict[Endpoint, Announcement | None] = {}
         self.versions = (-1, -1)
 
     def is_known(self, endpoint: Endpoint) -> bool:
-        """Tell whether somebody who answers keeps the queue of an endpoint.
+        """Tell whether an endpoint's queue has a keeper that is expected to respond.
 
-        One that is taken for gone is tried now and then.
+        A suspected keeper counts as such once every ``SUSPECTED_RETRY_SECONDS``.
         """
         keeper = self._keeper(endpoint)
         if keeper is None:
@@ -74,12 +76,12 @@
         now = self.clock()
         if not self.suspicions.is_suspected(keeper.boot, now):
             self._log_change(keeper.boot, is_silent=False)
-            self.tried_at.pop(keeper.boot, None)
+            self.retried_at.pop(keeper.boot, None)
             return True
         self._log_change(keeper.boot, is_silent=True)
-        if now - self.tried_at.setdefault(keeper.boot, now) < SUSPECTED_PAUSE:
+        if now - self.retried_at.setdefault(keeper.boot, now) < SUSPECTED_RETRY_SECONDS:
             return False
-        self.tried_at[keeper.boot] = now
+        self.retried_at[keeper.boot] = now
         return True
 
     async def ask(
@@ -87,25 +89,27 @@
         endpoints: Iterable[Endpoint],
         priority: int,
         parts: tuple[PromptPart, ...],
-        limit_of: Callable[[Endpoint], PermitLimit | None] = lambda endpoint: None,
+        permit_limit_of: Callable[[Endpoint], PermitLimit | None] = lambda endpoint: (
+            None
+        ),
     ) -> dict[str, QueueReport]:
-        """Return the reports that come in time, by the endpoint's name.
+        """Return the reports that arrive in time, by endpoint name.
 
-        Also requests a permit where ``limit_of`` returns a limit.
+        Also requests a permit where ``permit_limit_of`` returns a limit.
         """
         numbers = [
-            self._ask(endpoint, priority, parts, limit_of(endpoint))
+            self._send_probe(endpoint, priority, parts, permit_limit_of(endpoint))
             for endpoint in endpoints
         ]
-        asked = [self.open[number] for number in numbers if number is not None]
+        asked = [self.pending[number] for number in numbers if number is not None]
         try:
             with suppress(TimeoutError):
-                async with timeout(PROBE_SECONDS):
+                async with timeout(PROBE_TIMEOUT):
                     for _, future in asked:
                         await future
         finally:
             for number in numbers:
-                self.open.pop(number or 0, None)
+                self.pending.pop(number or 0, None)
         return {
             endpoint.name: future.result()
             for endpoint, future in asked
@@ -113,14 +117,14 @@
         }
 
     def on_report(self, message: ReportMessage) -> None:
-        """Take an answer; one that comes late only shows that its sender lives."""
+        """Accept a report; a late one only shows that its sender is alive."""
         self.suspicions.on_heard(message.boot)
-        asked = self.open.get(message.number)
+        asked = self.pending.get(message.number)
         if asked is None:
             return
         endpoint, future = asked
         keeper = self._keeper(endpoint)
-        if keeper is not None:  # it may have a later boot than the store tells of
+        if keeper is not None:  # its boot may be newer than the one announced
             self.suspicions.on_heard(keeper.boot)
         if not future.done():
             future.set_result(message.report)
@@ -133,17 +137,17 @@
         tokens: int,
         parts: tuple[PromptPart, ...],
     ) -> None:
-        """Tell that a call is sent to an endpoint."""
+        """Report that a call is sent to an endpoint."""
         name = boot_name(endpoint)
-        self._tell(endpoint, SentMessage(name, request, priority, tokens, parts))
+        self._notify(endpoint, SentMessage(name, request, priority, tokens, parts))
 
     def on_read(self, endpoint: Endpoint, request: str) -> None:
-        """Tell that a call's first token has come."""
-        self._tell(endpoint, ReadMessage(boot_name(endpoint), request))
+        """Report that a call's first token has arrived."""
+        self._notify(endpoint, ReadMessage(boot_name(endpoint), request))
 
     def on_ended(self, endpoint: Endpoint, request: str) -> None:
-        """Tell that a call has ended."""
-        self._tell(endpoint, EndedMessage(boot_name(endpoint), request))
+        """Report that a call has ended."""
+        self._notify(endpoint, EndedMessage(boot_name(endpoint), request))
 
     def _log_change(self, boot: str, is_silent: bool) -> None:
         if is_silent == (boot in self.silent):
@@ -152,7 +156,7 @@
         decision = "queue keeper silent" if is_silent else "queue keeper heard again"
         log_decision(decision, keeper=boot)
 
-    def _ask(
+    def _send_probe(
         self,
         endpoint: Endpoint,
         priority: int,
@@ -163,7 +167,7 @@
         if keeper is None:
             return None
         number = next(self.numbers)
-        self.open[number] = (endpoint, get_running_loop().create_future())
+        self.pending[number] = (endpoint, get_running_loop().create_future())
         self.suspicions.on_asked(keeper.boot, self.clock())
         question = ProbeMessage(
             number, boot_name(endpoint), priority, parts, permit_limit
@@ -171,7 +175,7 @@
         self.send(question, keeper.address)
         return number
 
-    def _tell(self, endpoint: Endpoint, message: QueueMessage) -> None:
+    def _notify(self, endpoint: Endpoint, message: QueueMessage) -> None:
         keeper = self._keeper(endpoint)
         if keeper is not None:
             self.send(message, keeper.address)
@@ -182,7 +186,7 @@
             self.versions = versions
             self.keepers.clear()
             self._forget_ended()
-        if len(self.keepers) > KEEPERS_REMEMBERED:
+        if len(self.keepers) > MAX_CACHED_KEEPERS:
             self.keepers.clear()
         if endpoint not in self.keepers:
             self.keepers[endpoint] = self._find_keeper(endpoint)
@@ -193,8 +197,8 @@
         boots = frozenset(item.boot for each in known for item in each.values())
         self.suspicions.retain_only(boots)
         self.silent &= boots
-        self.tried_at = {
-            boot: at for boot, at in self.tried_at.items() if boot in boots
+        self.retried_at = {
+            boot: at for boot, at in self.retried_at.items() if boot in boots
         }
 
     def _find_keeper(self, endpoint: Endpoint) -> Announcement | None:
--- a/libs/relay/src/clementinebend_relay/survey.py
+++ b/libs/relay/src/clementinebend_relay/survey.py
@@ -1,4 +1,4 @@
-"""What a call would meet at some endpoints, and which of them it is sent to."""
+"""Selects the endpoint for a call by the queues of a few candidate endpoints."""
 
 from collections.abc import Callable, Collection, Mapping
 from random import random, sample
@@ -23,46 +23,56 @@
 from clementinebend_routing.sessions import SessionTracker, best_source
 
 CONNECTION_SHARE = 0.9
-"""Part of an endpoint's connections that the entries use together."""
+"""Share of an endpoint's connections that all entries together may use."""
 
-FETCH_HEARD_SECONDS = 0.5
-"""Parts are fetched only from an endpoint that was heard so lately, unless the process
-on its host answers: an endpoint that fetches from a dark one gives no first token
-before the caller leaves."""
+FETCH_SOURCE_MAX_SILENCE = 0.5
+"""Longest silence in seconds of an endpoint from which cached prompt parts are fetched.
+
+It does not apply if the endpoint's queue keeper responds. An endpoint that fetches from
+an unreachable one returns no first token before the caller leaves.
+"""
 
 ZONE_BIAS = 1.0
-"""Calls in flight by which an endpoint in another zone must be better."""
+"""Number of calls in flight by which an endpoint in another zone must be better."""
 
 SESSION_PROBED = 2
-"""Endpoints of a prompt's session that are asked about: where its parts lie, and the
-one that has them when the first one is full."""
+"""Number of endpoints of a prompt's session that are queried.
+
+The first one has the prompt's cached parts; the second has them if the first is full.
+"""
 
 OTHERS_PROBED = 2
-"""Endpoints asked about beside those: with two at random, a session that draws many
-calls doesn't pile up on its own. Each costs a call two datagrams."""
+"""Number of further, random endpoints that are queried.
+
+With two of them, a session with many calls doesn't overload its own endpoints. Each
+endpoint costs a call two datagrams.
+"""
+
+SURVEY_VALID_SECONDS = 0.03
+"""How long a survey may be used, in seconds.
 
-SURVEY_SECONDS = 0.03
-"""How long a survey is good for: several dozen entries send some three prompts to each
-endpoint in a second."""
+Several dozen entries together send about three prompts a second to each endpoint.
+"""
 
 
 class Offer(NamedTuple):
-    """An endpoint that may take a call, and what the call would meet there.
+    """An endpoint that may take a call, and the state of its queue.
 
-    ``is_told`` is false where only this entry's own calls are known.
+    ``is_reported`` is false if ``report`` covers only this entry's own calls.
     """
 
     state: EndpointState
     report: QueueReport
-    is_told: bool
+    is_reported: bool
 
 
 class Placement(NamedTuple):
     """The endpoint that a call is sent to.
 
-    ``tokens`` of its prompt are to be read there, after ``ahead`` others; what
-    ``source`` keeps of it is fetched instead. ``reports`` is how many endpoints were
-    told of, ``has_permit`` whether a permit was granted there, if calls are limited.
+    The endpoint has to read ``tokens`` of the call's prompt, after ``ahead`` tokens of
+    other prompts; parts cached at ``source`` are fetched instead of read. ``reports``
+    is the number of endpoints whose queue was reported. ``has_permit`` tells whether a
+    permit was granted, if the endpoint's call rate is limited.
     """
 
     state: EndpointState
@@ -74,11 +84,11 @@
 
 
 class Survey(NamedTuple):
-    """Where a call would go now, none if there is no endpoint left.
+    """The result of a survey: the placement for a call, or None without an endpoint.
 
-    ``seconds_ahead`` is how long the prompts ahead of it take there, if that is known.
-    ``is_rate_limited`` is set if endpoints were asked about and none of them accepts
-    another call in this second.
+    ``at`` is when it was made. ``seconds_ahead`` is how long the endpoint takes to read
+    the prompts ahead of the call's, if known. ``is_rate_limited`` is set if endpoints
+    were queried and none of them accepts another call in this second.
     """
 
     at: float
@@ -88,7 +98,7 @@
 
 
 class Surveyor:
-    """Asks about a few of the endpoints that may take a call, and chooses one."""
+    """Queries the queues of a few eligible endpoints and chooses one for a call."""
 
     def __init__(
         self,
@@ -110,8 +120,8 @@
         self.clock = clock
 
     def is_usable(self, survey: Survey) -> bool:
-        """Tell whether a call may still be sent by a survey."""
-        if self.clock() - survey.at > SURVEY_SECONDS:
+        """Tell whether a survey is recent enough to send a call by it."""
+        if self.clock() - survey.at > SURVEY_VALID_SECONDS:
             return False
         placement = survey.placement
         return placement is None or self.cold_endpoints.may_send(
@@ -123,16 +133,16 @@
         return None if state is None else self.cold_endpoints.permit_limit(state)
 
     async def survey(self, admitted: Admitted, tried: Collection[str]) -> Survey:
-        """Ask about some endpoints and choose one of them."""
-        fit = self._fit(admitted, tried)
-        asked = self._shortlist(admitted, fit)
+        """Query the queues of some eligible endpoints and choose one of them."""
+        eligible = self._eligible(admitted, tried)
+        queried = self._shortlist(admitted, eligible)
         reports = await self.probes.ask(
-            (state.endpoint for state in asked),
+            (state.endpoint for state in queried),
             admitted.priority,
             admitted.call.parts,
             self._permit_limit,
         )
-        offered = [self._offer(admitted, state, reports) for state in asked]
+        offered = [self._make_offer(admitted, state, reports) for state in queried]
         offers = [
             offer
             for offer in offered
@@ -141,11 +151,13 @@
         if offered and not offers:
             full_surveys.labels(admitted.service.name).inc()
             return Survey(self.clock(), None, None, is_rate_limited=True)
-        told = [offer for offer in offers if offer.is_told]
-        return self._choose(admitted, told or offers)
+        reported = [offer for offer in offers if offer.is_reported]
+        return self._choose(admitted, reported or offers)
 
-    def _fit(self, admitted: Admitted, tried: Collection[str]) -> list[EndpointState]:
-        """Return the endpoints that may be sent a call."""
+    def _eligible(
+        self, admitted: Admitted, tried: Collection[str]
+    ) -> list[EndpointState]:
+        """Return the endpoints that a call may be sent to."""
         service = admitted.service
         states = self.endpoints.candidates(service.name)
         share = service.max_connections * CONNECTION_SHARE / self.entry_count()
@@ -158,58 +170,63 @@
         return [state for state in open_to if not state.is_doubted(now)] or open_to
 
     def _shortlist(
-        self, admitted: Admitted, fit: list[EndpointState]
+        self, admitted: Admitted, eligible: list[EndpointState]
     ) -> list[EndpointState]:
-        """Return the few endpoints to ask about, the session's first ones first.
+        """Return the endpoints to query: the session's first, then random ones.
 
-        A call without a prompt has no session: those of its own zone come first.
+        A call without a prompt has no session; endpoints in this zone come first then.
         """
-        known = [state for state in fit if self.probes.is_known(state.endpoint)]
-        by_name = {state.endpoint.name: state for state in known or fit}
+        with_known_queue = [
+            state for state in eligible if self.probes.is_known(state.endpoint)
+        ]
+        by_name = {state.endpoint.name: state for state in with_known_queue or eligible}
         if self.is_suspected(admitted.fingerprint):
-            # All entries send each suspect to an endpoint of its own, so that an end
-            # tells which of them is the cause, and costs few endpoints.
-            alone = rendezvous(admitted.fingerprint, by_name, 1)
-            return [by_name[name] for name in alone]
+            # All entries send a suspected request to one endpoint, chosen by its
+            # fingerprint. If an endpoint ends, this shows which of the suspected
+            # requests is the cause, and few endpoints are lost.
+            assigned = rendezvous(admitted.fingerprint, by_name, 1)
+            return [by_name[name] for name in assigned]
         if admitted.call.parts:
             session = self.sessions.session_of(admitted.call.parts)
             first = list(rendezvous(session, by_name, SESSION_PROBED))
         else:
-            near = [name for name in by_name if self._is_near(by_name[name])]
-            first = sample(near, min(SESSION_PROBED, len(near)))
+            in_own_zone = [
+                name for name in by_name if self._is_in_own_zone(by_name[name])
+            ]
+            first = sample(in_own_zone, min(SESSION_PROBED, len(in_own_zone)))
         rest = [name for name in by_name if name not in first]
         others = sample(rest, min(OTHERS_PROBED, len(rest)))
         return [by_name[name] for name in (*first, *others)]
 
-    def _offer(
+    def _make_offer(
         self,
         admitted: Admitted,
         state: EndpointState,
         reports: Mapping[str, QueueReport],
     ) -> Offer:
-        """Return what an endpoint offers, by what is told or by own calls only."""
+        """Return an endpoint's offer by its report, or by this entry's calls only."""
         report = reports.get(state.endpoint.name)
         if report is None:
             unread = self.sessions.uncached(state.endpoint.name, admitted.call.parts)
             ahead = state.tokens_ahead(admitted.priority)
             own = QueueReport(state.in_flight, ahead, unread, state.pace.seconds)
-            return Offer(state, own, is_told=False)
+            return Offer(state, own, is_reported=False)
         if report.pace is not None:
             state.pace = Pace(report.pace)
-        return Offer(state, report, is_told=True)
+        return Offer(state, report, is_reported=True)
 
     def _choose(self, admitted: Admitted, offers: list[Offer]) -> Survey:
         now = self.clock()
         if not offers:
             return Survey(now, None, None)
-        reports = sum(offer.is_told for offer in offers)
+        reports = sum(offer.is_reported for offer in offers)
         if not admitted.call.parts:
             best = min(offers, key=self._load)
             placement = Placement(
                 best.state, 0, 0, None, reports, best.report.has_permit
             )
             return Survey(now, placement, None)
-        best = self._for_prompt(offers)
+        best = self._best_for_prompt(offers)
         source = self._fetch_source(best, offers)
         tokens = best.report.unread
         if source is not None:
@@ -221,7 +238,7 @@
         )
         return Survey(now, placement, None if pace is None else ahead * pace)
 
-    def _for_prompt(self, offers: list[Offer]) -> Offer:
+    def _best_for_prompt(self, offers: list[Offer]) -> Offer:
         least = min(offer.report.unread for offer in offers)
         states = self.endpoints.states.values()
         usual = median_pace(state.pace for state in states)
@@ -240,14 +257,14 @@
         return offers[places.index(chosen)]
 
     def _load(self, offer: Offer) -> float:
-        bias = 0.0 if self._is_near(offer.state) else ZONE_BIAS
+        bias = 0.0 if self._is_in_own_zone(offer.state) else ZONE_BIAS
         return offer.report.running + bias + random() * 0.5
 
-    def _is_near(self, state: EndpointState) -> bool:
+    def _is_in_own_zone(self, state: EndpointState) -> bool:
         return state.endpoint.zone == self.zone
 
     def _fetch_source(self, best: Offer, offers: list[Offer]) -> Offer | None:
-        """Return the endpoint from which parts of a prompt are to be fetched."""
+        """Return the endpoint to fetch cached parts of a prompt from, if any."""
         now = self.clock()
         others = {
             offer.state.endpoint.name: offer
@@ -255,7 +272,10 @@
             if offer is not best
             and offer.state.lapsed_at is None
             and not offer.state.is_doubted(now)
-            and (offer.is_told or now - offer.state.heard_at < FETCH_HEARD_SECONDS)
+            and (
+                offer.is_reported
+                or now - offer.state.heard_at < FETCH_SOURCE_MAX_SILENCE
+            )
         }
         unread = {name: offer.report.unread for name, offer in others.items()}
         source = best_source(best.report.unread, unread)
--- a/tests/unit/platform/test_http_protocol.py
+++ b/tests/unit/platform/test_http_protocol.py
@@ -59,7 +59,7 @@
     assert call.host == "desk.example"
     assert call.key == "secret"
     assert call.time_limit == 1.5
-    assert call.most_tokens == 1540
+    assert call.max_total_tokens == 1540
     assert call.parts[1] == PromptPart("91bd3f06", 410)
 
 
@@ -126,7 +126,7 @@
 def test_answers_are_classified(
     status: int, headers: dict[str, str], verdict: Verdict
 ) -> None:
-    assert PROTOCOL.judge(valid_call(), status, headers) is verdict
+    assert PROTOCOL.classify_response(valid_call(), status, headers) is verdict
 
 
 @pytest.mark.parametrize("reason", list(Reason))
