--- a/libs/declarations/src/clementinebend_declarations/bounds.py
+++ b/libs/declarations/src/clementinebend_declarations/bounds.py
@@ -9,15 +9,15 @@
 NAME_PATTERN = compile_pattern(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 NAME_ALLOWED = "1 to 63 letters, digits, '.', '_' or '-', the first a letter or digit"
 
-Path = tuple[str, ...]
+KeyPath = tuple[str, ...]
 
 
-def fault(path: Path, problem: str, allowed: str) -> DeclarationError:
+def fault(path: KeyPath, problem: str, allowed: str) -> DeclarationError:
     """Return an error whose file is not known yet."""
     return DeclarationError(path, problem, allowed)
 
 
-def check_name(path: Path, name: str | None = None) -> Iterator[DeclarationError]:
+def check_name(path: KeyPath, name: str | None = None) -> Iterator[DeclarationError]:
     """Yield an error unless ``name``, or the last key of the path, is a name."""
     found = path[-1] if name is None else name
     if not NAME_PATTERN.fullmatch(found):
@@ -25,7 +25,7 @@
 
 
 def check_range(
-    path: Path, value: float, lowest: float, highest: float
+    path: KeyPath, value: float, lowest: float, highest: float
 ) -> Iterator[DeclarationError]:
     """Yield an error unless ``value`` is a finite number within the bounds."""
     if not isfinite(value) or not lowest <= value <= highest:
@@ -33,10 +33,10 @@
 
 
 def check_unique(
-    entries: Iterable[tuple[Path, Hashable]], allowed: str
+    entries: Iterable[tuple[KeyPath, Hashable]], allowed: str
 ) -> Iterator[DeclarationError]:
     """Yield an error for each value that stands at an earlier path already."""
-    first: dict[Hashable, Path] = {}
+    first: dict[Hashable, KeyPath] = {}
     for path, value in entries:
         earlier = first.setdefault(value, path)
         if earlier != path:
--- a/libs/declarations/src/clementinebend_declarations/check_services.py
+++ b/libs/declarations/src/clementinebend_declarations/check_services.py
@@ -4,7 +4,7 @@
 from ipaddress import ip_address
 
 from clementinebend_declarations.bounds import (
-    Path,
+    KeyPath,
     check_name,
     check_range,
     check_unique,
@@ -63,14 +63,14 @@
     yield from check_unique(addresses, "a host and port of its own")
 
 
-def _check_kind(path: Path, service: Service) -> Errors:
+def _check_kind(path: KeyPath, service: Service) -> Errors:
     if service.kind is ServiceKind.MODEL:
         yield from _check_model_service(path, service)
     else:
         yield from _check_plain_service(path, service)
 
 
-def _check_model_service(path: Path, service: Service) -> Errors:
+def _check_model_service(path: KeyPath, service: Service) -> Errors:
     if not service.models:
         yield fault((*path, "models"), "is empty", "the names of its models")
     if service.path:
@@ -85,7 +85,7 @@
             yield fault(place, f"is {model!r}", MODEL_PRINTABLE)
 
 
-def _check_plain_service(path: Path, service: Service) -> Errors:
+def _check_plain_service(path: KeyPath, service: Service) -> Errors:
     if service.models:
         problem = "names models"
         yield fault((*path, "models"), problem, "no models for a plain service")
@@ -102,7 +102,7 @@
     return is_path and f"/{first}" not in RESERVED_PATHS and "?" not in path
 
 
-def _check_bounds(path: Path, service: Service) -> Errors:
+def _check_bounds(path: KeyPath, service: Service) -> Errors:
     bounds = {
         "cost": (0, MAX_COST),
         "max_output_tokens": (1, MAX_OUTPUT_TOKENS),
@@ -117,7 +117,7 @@
             yield fault(place, f"is {method!r}", f"one of {', '.join(METHODS)}")
 
 
-def _check_host(path: Path, host: str) -> Errors:
+def _check_host(path: KeyPath, host: str) -> Errors:
     try:
         address = ip_address(host)
     except ValueError:
@@ -127,7 +127,9 @@
         yield fault(path, f"is {host!r}", "the IP number of one host")
 
 
-def _check_service(path: Path, endpoint: Endpoint, service: Service | None) -> Errors:
+def _check_service(
+    path: KeyPath, endpoint: Endpoint, service: Service | None
+) -> Errors:
     if service is None:
         problem = f"is {endpoint.service!r}"
         yield fault((*path, "service"), problem, "the name of a declared service")
