--- a/libs/declarations/src/clementinebend_declarations/bounds.py
+++ b/libs/declarations/src/clementinebend_declarations/bounds.py
@@ -12,7 +12,7 @@
 KeyPath = tuple[str, ...]
 
 
-def fault(path: KeyPath, problem: str, allowed: str) -> DeclarationError:
+def declaration_error(path: KeyPath, problem: str, allowed: str) -> DeclarationError:
     """Return an error whose file is not known yet."""
     return DeclarationError(path, problem, allowed)
 
@@ -21,7 +21,7 @@
     """Yield an error unless ``name``, or the last key of the path, is a name."""
     found = path[-1] if name is None else name
     if not NAME_PATTERN.fullmatch(found):
-        yield fault(path, f"is {found!r}", NAME_ALLOWED)
+        yield declaration_error(path, f"is {found!r}", NAME_ALLOWED)
 
 
 def check_range(
@@ -29,7 +29,9 @@
 ) -> Iterator[DeclarationError]:
     """Yield an error unless ``value`` is a finite number within the bounds."""
     if not isfinite(value) or not lowest <= value <= highest:
-        yield fault(path, f"is {value}", f"a number from {lowest} to {highest}")
+        yield declaration_error(
+            path, f"is {value}", f"a number from {lowest} to {highest}"
+        )
 
 
 def check_unique(
@@ -40,4 +42,4 @@
     for path, value in entries:
         earlier = first.setdefault(value, path)
         if earlier != path:
-            yield fault(path, f"repeats {'.'.join(earlier)}", allowed)
+            yield declaration_error(path, f"repeats {'.'.join(earlier)}", allowed)
--- a/libs/declarations/src/clementinebend_declarations/check_services.py
+++ b/libs/declarations/src/clementinebend_declarations/check_services.py
@@ -8,7 +8,7 @@
     check_name,
     check_range,
     check_unique,
-    fault,
+    declaration_error,
 )
 from clementinebend_declarations.exceptions import DeclarationError
 from clementinebend_declarations.models import (
@@ -72,27 +72,33 @@
 
 def _check_model_service(path: KeyPath, service: Service) -> Errors:
     if not service.models:
-        yield fault((*path, "models"), "is empty", "the names of its models")
+        yield declaration_error(
+            (*path, "models"), "is empty", "the names of its models"
+        )
     if service.path:
         problem = f"is {service.path!r}"
-        yield fault((*path, "path"), problem, "no path for a model service")
+        yield declaration_error((*path, "path"), problem, "no path for a model service")
     if service.cost:
         problem = f"is {service.cost}"
-        yield fault((*path, "cost"), problem, "no fixed cost for a model service")
+        yield declaration_error(
+            (*path, "cost"), problem, "no fixed cost for a model service"
+        )
     for index, model in enumerate(service.models):
         if not model or not model.isprintable() or " " in model:
             place = (*path, "models", str(index))
-            yield fault(place, f"is {model!r}", MODEL_PRINTABLE)
+            yield declaration_error(place, f"is {model!r}", MODEL_PRINTABLE)
 
 
 def _check_plain_service(path: KeyPath, service: Service) -> Errors:
     if service.models:
         problem = "names models"
-        yield fault((*path, "models"), problem, "no models for a plain service")
+        yield declaration_error(
+            (*path, "models"), problem, "no models for a plain service"
+        )
     if not _is_service_path(service.path):
         reserved = ", ".join(RESERVED_PATHS)
         allowed = f"a path such as '/booking', not below {reserved}"
-        yield fault((*path, "path"), f"is {service.path!r}", allowed)
+        yield declaration_error((*path, "path"), f"is {service.path!r}", allowed)
 
 
 def _is_service_path(path: str) -> bool:
@@ -114,17 +120,19 @@
     for index, method in enumerate(service.idempotent_methods):
         if method not in METHODS:
             place = (*path, "idempotent_methods", str(index))
-            yield fault(place, f"is {method!r}", f"one of {', '.join(METHODS)}")
+            yield declaration_error(
+                place, f"is {method!r}", f"one of {', '.join(METHODS)}"
+            )
 
 
 def _check_host(path: KeyPath, host: str) -> Errors:
     try:
         address = ip_address(host)
     except ValueError:
-        yield fault(path, f"is {host!r}", "an IP number, not a name")
+        yield declaration_error(path, f"is {host!r}", "an IP number, not a name")
         return
     if address.is_unspecified or address.is_multicast:
-        yield fault(path, f"is {host!r}", "the IP number of one host")
+        yield declaration_error(path, f"is {host!r}", "the IP number of one host")
 
 
 def _check_service(
@@ -132,13 +140,15 @@
 ) -> Errors:
     if service is None:
         problem = f"is {endpoint.service!r}"
-        yield fault((*path, "service"), problem, "the name of a declared service")
+        yield declaration_error(
+            (*path, "service"), problem, "the name of a declared service"
+        )
         return
     for index, model in enumerate(endpoint.models):
         if model not in service.models:
             place = (*path, "models", str(index))
             allowed = f"a model of the service {endpoint.service!r}"
-            yield fault(place, f"is {model!r}", allowed)
+            yield declaration_error(place, f"is {model!r}", allowed)
 
 
 def _normal_host(host: str) -> str:
--- a/libs/declarations/src/clementinebend_declarations/checks.py
+++ b/libs/declarations/src/clementinebend_declarations/checks.py
@@ -11,7 +11,7 @@
     check_name,
     check_range,
     check_unique,
-    fault,
+    declaration_error,
 )
 from clementinebend_declarations.check_services import check_endpoints, check_services
 from clementinebend_declarations.exceptions import DeclarationError
@@ -63,7 +63,7 @@
 def _check_key_digest(path: tuple[str, ...], digest: str) -> Errors:
     if len(digest) != KEY_DIGEST_LENGTH or not HEX_DIGITS.issuperset(digest):
         allowed = f"the SHA-256 of the key: {KEY_DIGEST_LENGTH} digits 0-9 and a-f"
-        yield fault(path, f"is {digest!r}", allowed)
+        yield declaration_error(path, f"is {digest!r}", allowed)
 
 
 def _check_budgets(declarations: Declarations) -> Errors:
@@ -87,14 +87,18 @@
 ) -> Errors:
     if budget.team not in declarations.teams:
         place = (*path, "team")
-        yield fault(place, f"is {budget.team!r}", "the name of a declared team")
+        yield declaration_error(
+            place, f"is {budget.team!r}", "the name of a declared team"
+        )
     if not budget.services:
         place = (*path, "services")
-        yield fault(place, "is empty", "at least one declared service")
+        yield declaration_error(place, "is empty", "at least one declared service")
     for index, service in enumerate(budget.services):
         if service not in declarations.services:
             place = (*path, "services", str(index))
-            yield fault(place, f"is {service!r}", "the name of a declared service")
+            yield declaration_error(
+                place, f"is {service!r}", "the name of a declared service"
+            )
 
 
 def _top_up_ids(
@@ -119,14 +123,14 @@
         path = ("routing_rules", str(index))
         if rule.team != ANY_TEAM and rule.team not in declarations.teams:
             allowed = f"a declared team, or {ANY_TEAM!r} for any"
-            yield fault((*path, "team"), f"is {rule.team!r}", allowed)
+            yield declaration_error((*path, "team"), f"is {rule.team!r}", allowed)
         service = declarations.services.get(rule.service)
         if service is None:
             allowed = "the name of a declared service"
-            yield fault((*path, "service"), f"is {rule.service!r}", allowed)
+            yield declaration_error((*path, "service"), f"is {rule.service!r}", allowed)
         elif rule.model not in service.models:
             allowed = f"a model of the service {rule.service!r}"
-            yield fault((*path, "model"), f"is {rule.model!r}", allowed)
+            yield declaration_error((*path, "model"), f"is {rule.model!r}", allowed)
     yield from check_unique(
         (
             (("routing_rules", str(index)), (rule.team, rule.model))
