--- a/libs/declarations/src/clementinebend_declarations/__init__.py
+++ b/libs/declarations/src/clementinebend_declarations/__init__.py
@@ -1,3 +1,3 @@
-"""Declarations, their schema versions, and replay of the configuration stream."""
+"""Declarations, their schema versions and replay of the configuration stream."""
 
 __version__ = "0.1.0"
--- a/libs/declarations/src/clementinebend_declarations/bounds.py
+++ b/libs/declarations/src/clementinebend_declarations/bounds.py
@@ -1,4 +1,4 @@
-"""Small checks that the checks of all sections are made of."""
+"""Validators that the checks of all sections share."""
 
 from collections.abc import Hashable, Iterable, Iterator
 from math import isfinite
@@ -13,12 +13,12 @@
 
 
 def declaration_error(path: KeyPath, problem: str, allowed: str) -> DeclarationError:
-    """Return an error whose file is not known yet."""
+    """Return an error without a file; the caller adds the file later."""
     return DeclarationError(path, problem, allowed)
 
 
 def check_name(path: KeyPath, name: str | None = None) -> Iterator[DeclarationError]:
-    """Yield an error unless ``name``, or the last key of the path, is a name."""
+    """Yield an error unless ``name``, by default the last key, is a valid name."""
     found = path[-1] if name is None else name
     if not NAME_PATTERN.fullmatch(found):
         yield declaration_error(path, f"is {found!r}", NAME_ALLOWED)
@@ -37,7 +37,7 @@
 def check_unique(
     entries: Iterable[tuple[KeyPath, Hashable]], allowed: str
 ) -> Iterator[DeclarationError]:
-    """Yield an error for each value that stands at an earlier path already."""
+    """Yield an error for each value that repeats the value of an earlier path."""
     first: dict[Hashable, KeyPath] = {}
     for path, value in entries:
         earlier = first.setdefault(value, path)
