--- a/libs/declarations/src/clementinebend_declarations/check_services.py
+++ b/libs/declarations/src/clementinebend_declarations/check_services.py
@@ -26,7 +26,7 @@
 MAX_OUTPUT_TOKENS = 1_000_000
 MAX_HEDGE_MS = 600_000
 MAX_PORT = 65_535
-MODEL_PRINTABLE = "a name without spaces, at least one character"
+MODEL_NAME_ALLOWED = "a name without spaces, at least one character"
 
 Errors = Iterator[DeclarationError]
 
@@ -55,9 +55,9 @@
         yield from check_range((*path, "port"), endpoint.port, 1, MAX_PORT)
         yield from _check_host((*path, "host"), endpoint.host)
         service = declarations.services.get(endpoint.service)
-        yield from _check_service(path, endpoint, service)
+        yield from _check_endpoint_service(path, endpoint, service)
     addresses = (
-        (("endpoints", name), (_normal_host(endpoint.host), endpoint.port))
+        (("endpoints", name), (_normalized_host(endpoint.host), endpoint.port))
         for name, endpoint in declarations.endpoints.items()
     )
     yield from check_unique(addresses, "a host and port of its own")
@@ -85,8 +85,8 @@
         )
     for index, model in enumerate(service.models):
         if not model or not model.isprintable() or " " in model:
-            place = (*path, "models", str(index))
-            yield declaration_error(place, f"is {model!r}", MODEL_PRINTABLE)
+            item_path = (*path, "models", str(index))
+            yield declaration_error(item_path, f"is {model!r}", MODEL_NAME_ALLOWED)
 
 
 def _check_plain_service(path: KeyPath, service: Service) -> Errors:
@@ -119,9 +119,9 @@
         yield from check_range((*path, field), value, lowest, highest)
     for index, method in enumerate(service.idempotent_methods):
         if method not in METHODS:
-            place = (*path, "idempotent_methods", str(index))
+            item_path = (*path, "idempotent_methods", str(index))
             yield declaration_error(
-                place, f"is {method!r}", f"one of {', '.join(METHODS)}"
+                item_path, f"is {method!r}", f"one of {', '.join(METHODS)}"
             )
 
 
@@ -135,7 +135,7 @@
         yield declaration_error(path, f"is {host!r}", "the IP number of one host")
 
 
-def _check_service(
+def _check_endpoint_service(
     path: KeyPath, endpoint: Endpoint, service: Service | None
 ) -> Errors:
     if service is None:
@@ -146,12 +146,12 @@
         return
     for index, model in enumerate(endpoint.models):
         if model not in service.models:
-            place = (*path, "models", str(index))
+            item_path = (*path, "models", str(index))
             allowed = f"a model of the service {endpoint.service!r}"
-            yield declaration_error(place, f"is {model!r}", allowed)
+            yield declaration_error(item_path, f"is {model!r}", allowed)
 
 
-def _normal_host(host: str) -> str:
+def _normalized_host(host: str) -> str:
     try:
         return str(ip_address(host))
     except ValueError:
--- a/libs/declarations/src/clementinebend_declarations/checks.py
+++ b/libs/declarations/src/clementinebend_declarations/checks.py
@@ -72,9 +72,9 @@
         yield from check_name(path)
         yield from _check_payers(path, budget, declarations)
         for index, top_up in enumerate(budget.top_ups):
-            place = (*path, "top_ups", str(index))
-            yield from check_name((*place, "id"), top_up.id)
-            tokens = (*place, "tokens")
+            item_path = (*path, "top_ups", str(index))
+            yield from check_name((*item_path, "id"), top_up.id)
+            tokens = (*item_path, "tokens")
             yield from check_range(tokens, top_up.tokens, 1, MAX_TOP_UP_TOKENS)
     yield from check_unique(_top_up_ids(declarations), "an id used once only")
     yield from check_unique(
@@ -86,18 +86,18 @@
     path: tuple[str, ...], budget: Budget, declarations: Declarations
 ) -> Errors:
     if budget.team not in declarations.teams:
-        place = (*path, "team")
+        item_path = (*path, "team")
         yield declaration_error(
-            place, f"is {budget.team!r}", "the name of a declared team"
+            item_path, f"is {budget.team!r}", "the name of a declared team"
         )
     if not budget.services:
-        place = (*path, "services")
-        yield declaration_error(place, "is empty", "at least one declared service")
+        item_path = (*path, "services")
+        yield declaration_error(item_path, "is empty", "at least one declared service")
     for index, service in enumerate(budget.services):
         if service not in declarations.services:
-            place = (*path, "services", str(index))
+            item_path = (*path, "services", str(index))
             yield declaration_error(
-                place, f"is {service!r}", "the name of a declared service"
+                item_path, f"is {service!r}", "the name of a declared service"
             )
 
 
