--- a/libs/declarations/src/clementinebend_declarations/check_services.py
+++ b/libs/declarations/src/clementinebend_declarations/check_services.py
@@ -1,4 +1,4 @@
-"""Checks of services and of the endpoints behind them."""
+"""Validation of services and of their endpoints."""
 
 from collections.abc import Iterator
 from ipaddress import ip_address
@@ -20,7 +20,7 @@
 
 METHODS = ("GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH")
 RESERVED_PATHS = ("/v1", "/readyz", "/healthz", "/metrics")
-"""Paths that entries serve themselves."""
+"""Path prefixes that entries serve themselves; no service may use them."""
 
 MAX_COST = 1_000_000_000
 MAX_OUTPUT_TOKENS = 1_000_000
@@ -32,7 +32,7 @@
 
 
 def check_services(declarations: Declarations) -> Errors:
-    """Yield the errors of all services."""
+    """Yield the errors in all service declarations."""
     for name, service in declarations.services.items():
         path = ("services", name)
         yield from check_name(path)
@@ -47,7 +47,7 @@
 
 
 def check_endpoints(declarations: Declarations) -> Errors:
-    """Yield the errors of all endpoints."""
+    """Yield the errors in all endpoint declarations."""
     for name, endpoint in declarations.endpoints.items():
         path = ("endpoints", name)
         yield from check_name(path)
