--- a/libs/declarations/src/clementinebend_declarations/checkpoints.py
+++ b/libs/declarations/src/clementinebend_declarations/checkpoints.py
@@ -20,13 +20,13 @@
 from clementinebend_records.records import Checkpoint
 from clementinebend_records.streams import CONFIGURATION_STREAM
 
-DOCUMENT = "document"
-SUMMARY = "summary"
+DOCUMENT_KEY = "document"
+SUMMARY_KEY = "summary"
 
 
 def configuration_digest(state: ConfigurationState) -> str:
     """Return the digest of a state: equal on all nodes at equal offsets."""
-    return canonical_digest(_summary(state))
+    return canonical_digest(_summarize(state))
 
 
 def configuration_checkpoint(state: ConfigurationState) -> Checkpoint:
@@ -50,12 +50,12 @@
         case Result(error=reason):
             raise CheckpointError(f"checkpoint at {checkpoint.offset}: {reason}")
     if (restored.offset, digest) != (checkpoint.offset, checkpoint.digest):
-        place = f"checkpoint at {checkpoint.offset}"
-        raise CheckpointError(f"{place}: the state has another offset or digest")
-    return restored if current is None else newest(current, restored)
+        prefix = f"checkpoint at {checkpoint.offset}"
+        raise CheckpointError(f"{prefix}: the state has another offset or digest")
+    return restored if current is None else newer_state(current, restored)
 
 
-def newest(
+def newer_state(
     current: ConfigurationState, other: ConfigurationState
 ) -> ConfigurationState:
     """Return the state that has replayed more of the stream."""
@@ -64,15 +64,17 @@
 
 def configuration_bytes(state: ConfigurationState) -> bytes:
     """Return the encoding of a state."""
-    return canonical({SUMMARY: _summary(state), DOCUMENT: state.document}).encode()
+    return canonical(
+        {SUMMARY_KEY: _summarize(state), DOCUMENT_KEY: state.document}
+    ).encode()
 
 
 def configuration_from_bytes(data: bytes) -> Result[ConfigurationState, str]:
     """Return the state in an encoding that another node made, or its fault."""
     try:
         value = loads(data)
-        summary, document = value[SUMMARY], value[DOCUMENT]
-        state = _state(summary, document)
+        summary, document = value[SUMMARY_KEY], value[DOCUMENT_KEY]
+        state = _decode_state(summary, document)
     except (JSONDecodeError, UnicodeDecodeError, ValidationError) as error:
         return Error(f"it cannot be read ({error})")
     except (KeyError, TypeError, ValueError, RecursionError) as error:
@@ -82,7 +84,7 @@
     return Ok(state)
 
 
-def _summary(state: ConfigurationState) -> dict[str, Any]:
+def _summarize(state: ConfigurationState) -> dict[str, Any]:
     configuration = state.configuration
     return {
         "revision": configuration.revision,
@@ -95,7 +97,7 @@
     }
 
 
-def _state(summary: dict[str, Any], document: Any) -> ConfigurationState:
+def _decode_state(summary: dict[str, Any], document: Any) -> ConfigurationState:
     if not isinstance(document, dict) or not is_plain(document):
         raise ValueError("the document is no plain mapping")
     schema_version = convert(summary["schema_version"], int)
@@ -104,7 +106,7 @@
         activated_schema=convert(summary["activated_schema"], int),
         schema_version=schema_version,
         digest=convert(summary["digest"], str),
-        declarations=_declarations(document, schema_version),
+        declarations=_decode_declarations(document, schema_version),
     )
     return ConfigurationState(
         configuration=configuration,
@@ -116,7 +118,7 @@
     )
 
 
-def _declarations(document: dict[str, Any], schema_version: int) -> Declarations:
+def _decode_declarations(document: dict[str, Any], schema_version: int) -> Declarations:
     """Return the declarations, or none of a schema that is too new."""
     if schema_version > SCHEMA_VERSION:
         return Declarations()
--- a/libs/entry/src/clementinebend_entry/configuration.py
+++ b/libs/entry/src/clementinebend_entry/configuration.py
@@ -13,7 +13,7 @@
 from clementinebend_declarations.checkpoints import (
     configuration_bytes,
     configuration_from_bytes,
-    newest,
+    newer_state,
 )
 from clementinebend_declarations.models import Configuration
 from clementinebend_declarations.replay import (
@@ -137,7 +137,7 @@
             case Result(tag="ok", ok=state):
                 is_readable = state.configuration.activated_schema <= self.readable
                 if is_readable and state.configuration.revision > self.revision:
-                    self.replace(newest(self.state, state))
+                    self.replace(newer_state(self.state, state))
             case Result(error=reason):
                 logger.warning("a peer's configuration is unusable: %s", reason)
 
