--- a/libs/bench/src/clementinebend_bench/slopes/pure.py
+++ b/libs/bench/src/clementinebend_bench/slopes/pure.py
@@ -23,7 +23,7 @@
     OTHER_ENTRY,
 )
 from clementinebend_bench.slopes.fit import Line, Point, fit_line
-from clementinebend_declarations.checkpoints import configuration_bytes
+from clementinebend_declarations.checkpoints import encode_configuration_state
 from clementinebend_declarations.replay import (
     configuration_of,
     empty_configuration,
@@ -130,7 +130,7 @@
 
 def configuration_size(budgets: int) -> float:
     """Return the bytes of a checkpoint of the configuration."""
-    return len(configuration_bytes(_declared(document_of(budgets))))
+    return len(encode_configuration_state(_declared(document_of(budgets))))
 
 
 def plan_seconds(budgets: int) -> float:
--- a/libs/declarations/src/clementinebend_declarations/checkpoints.py
+++ b/libs/declarations/src/clementinebend_declarations/checkpoints.py
@@ -32,7 +32,7 @@
 def configuration_checkpoint(state: ConfigurationState) -> Checkpoint:
     """Return a checkpoint of a state, for the stream or for a peer."""
     digest = configuration_digest(state)
-    data = configuration_bytes(state)
+    data = encode_configuration_state(state)
     return Checkpoint(CONFIGURATION_STREAM, state.offset, digest, data)
 
 
@@ -62,7 +62,7 @@
     return other if other.offset > current.offset else current
 
 
-def configuration_bytes(state: ConfigurationState) -> bytes:
+def encode_configuration_state(state: ConfigurationState) -> bytes:
     """Return the encoding of a state."""
     return canonical(
         {SUMMARY_KEY: _summarize(state), DOCUMENT_KEY: state.document}
--- a/libs/entry/src/clementinebend_entry/configuration.py
+++ b/libs/entry/src/clementinebend_entry/configuration.py
@@ -11,8 +11,8 @@
 from expression import Result
 
 from clementinebend_declarations.checkpoints import (
-    configuration_bytes,
     configuration_from_bytes,
+    encode_configuration_state,
     newer_state,
 )
 from clementinebend_declarations.models import Configuration
@@ -143,7 +143,9 @@
 
     def give(self, question: int) -> RevisionGive:
         """Return the configuration in force, for a peer."""
-        return RevisionGive(question, self.revision, configuration_bytes(self.state))
+        return RevisionGive(
+            question, self.revision, encode_configuration_state(self.state)
+        )
 
     async def ask_peers(self, ask: AskPeers) -> None:
         """Ask peers, for ever, while the log cannot be read."""
