--- a/libs/declarations/src/clementinebend_declarations/checkpoints.py
+++ b/libs/declarations/src/clementinebend_declarations/checkpoints.py
@@ -44,7 +44,7 @@
     Raises ``CheckpointError`` if the checkpoint is damaged. The state may have
     a schema activated that this node cannot read: replay tells it so.
     """
-    match configuration_from_bytes(checkpoint.state):
+    match decode_configuration_state(checkpoint.state):
         case Result(tag="ok", ok=restored):
             digest = configuration_digest(restored)
         case Result(error=reason):
@@ -69,7 +69,7 @@
     ).encode()
 
 
-def configuration_from_bytes(data: bytes) -> Result[ConfigurationState, str]:
+def decode_configuration_state(data: bytes) -> Result[ConfigurationState, str]:
     """Return the state in an encoding that another node made, or its fault."""
     try:
         value = loads(data)
--- a/libs/entry/src/clementinebend_entry/configuration.py
+++ b/libs/entry/src/clementinebend_entry/configuration.py
@@ -11,7 +11,7 @@
 from expression import Result
 
 from clementinebend_declarations.checkpoints import (
-    configuration_from_bytes,
+    decode_configuration_state,
     encode_configuration_state,
     newer_state,
 )
@@ -133,7 +133,7 @@
 
     def take(self, give: RevisionGive) -> None:
         """Take the configuration of a peer, if it is newer."""
-        match configuration_from_bytes(give.state):
+        match decode_configuration_state(give.state):
             case Result(tag="ok", ok=state):
                 is_readable = state.configuration.activated_schema <= self.readable
                 if is_readable and state.configuration.revision > self.revision:
