--- a/libs/declarations/src/clementinebend_declarations/checkpoints.py
+++ b/libs/declarations/src/clementinebend_declarations/checkpoints.py
@@ -1,7 +1,7 @@
-"""Checkpoints of the configuration: a whole state that proves itself.
+"""Encoding and verification of configuration checkpoints.
 
-The digest is that of a summary, which names the digest of the document; both
-are checked before a checkpoint is used.
+A checkpoint holds a whole state. Its digest covers a summary, which contains
+the digest of the document; both are verified before a checkpoint is used.
 """
 
 from json import JSONDecodeError, loads
@@ -25,7 +25,7 @@
 
 
 def configuration_digest(state: ConfigurationState) -> str:
-    """Return the digest of a state: equal on all nodes at equal offsets."""
+    """Return the digest of a state; all nodes have the same one at an offset."""
     return canonical_digest(_summarize(state))
 
 
@@ -39,10 +39,11 @@
 def restore_configuration(
     checkpoint: Checkpoint, current: ConfigurationState | None = None
 ) -> ConfigurationState:
-    """Return the state in a checkpoint, or ``current`` if that is as new.
+    """Return the state in a checkpoint, or ``current`` unless that is older.
 
     Raises ``CheckpointError`` if the checkpoint is damaged. The state may have
-    a schema activated that this node cannot read: replay tells it so.
+    activated a schema that this node cannot read; replay reports that with the
+    next batch.
     """
     match decode_configuration_state(checkpoint.state):
         case Result(tag="ok", ok=restored):
@@ -51,7 +52,7 @@
             raise CheckpointError(f"checkpoint at {checkpoint.offset}: {reason}")
     if (restored.offset, digest) != (checkpoint.offset, checkpoint.digest):
         prefix = f"checkpoint at {checkpoint.offset}"
-        raise CheckpointError(f"{prefix}: the state has another offset or digest")
+        raise CheckpointError(f"{prefix}: offset or digest of the state does not match")
     return restored if current is None else newer_state(current, restored)
 
 
@@ -63,24 +64,24 @@
 
 
 def encode_configuration_state(state: ConfigurationState) -> bytes:
-    """Return the encoding of a state."""
+    """Return a state as canonical JSON."""
     return canonical(
         {SUMMARY_KEY: _summarize(state), DOCUMENT_KEY: state.document}
     ).encode()
 
 
 def decode_configuration_state(data: bytes) -> Result[ConfigurationState, str]:
-    """Return the state in an encoding that another node made, or its fault."""
+    """Return the state that another node encoded, or why it is invalid."""
     try:
         value = loads(data)
         summary, document = value[SUMMARY_KEY], value[DOCUMENT_KEY]
         state = _decode_state(summary, document)
     except (JSONDecodeError, UnicodeDecodeError, ValidationError) as error:
-        return Error(f"it cannot be read ({error})")
+        return Error(f"invalid encoding ({error})")
     except (KeyError, TypeError, ValueError, RecursionError) as error:
-        return Error(f"it has another shape ({error})")
+        return Error(f"invalid structure ({error})")
     if document_digest(document) != state.configuration.digest:
-        return Error("the document has another digest")
+        return Error("digest of the document does not match the summary")
     return Ok(state)
 
 
@@ -99,7 +100,7 @@
 
 def _decode_state(summary: dict[str, Any], document: Any) -> ConfigurationState:
     if not isinstance(document, dict) or not is_plain(document):
-        raise ValueError("the document is no plain mapping")
+        raise ValueError("the document is not a mapping of plain values")
     schema_version = convert(summary["schema_version"], int)
     configuration = Configuration(
         revision=convert(summary["revision"], int),
@@ -119,7 +120,7 @@
 
 
 def _decode_declarations(document: dict[str, Any], schema_version: int) -> Declarations:
-    """Return the declarations, or none of a schema that is too new."""
+    """Return the declarations; empty ones if this node cannot read the schema."""
     if schema_version > SCHEMA_VERSION:
         return Declarations()
     match check_document(document):
