--- a/libs/declarations/src/clementinebend_declarations/checks.py
+++ b/libs/declarations/src/clementinebend_declarations/checks.py
@@ -37,7 +37,7 @@
             _check_budgets(declarations),
             check_services(declarations),
             check_endpoints(declarations),
-            _check_rules(declarations),
+            _check_routing_rules(declarations),
             _check_limits(declarations.limits),
         )
     )
@@ -70,7 +70,7 @@
     for name, budget in declarations.budgets.items():
         path = ("budgets", name)
         yield from check_name(path)
-        yield from _check_payers(path, budget, declarations)
+        yield from _check_budget_references(path, budget, declarations)
         for index, top_up in enumerate(budget.top_ups):
             item_path = (*path, "top_ups", str(index))
             yield from check_name((*item_path, "id"), top_up.id)
@@ -78,11 +78,11 @@
             yield from check_range(tokens, top_up.tokens, 1, MAX_TOP_UP_TOKENS)
     yield from check_unique(_top_up_ids(declarations), "an id used once only")
     yield from check_unique(
-        _paid_services(declarations), "one budget of a team for each service"
+        _budgeted_services(declarations), "one budget of a team for each service"
     )
 
 
-def _check_payers(
+def _check_budget_references(
     path: tuple[str, ...], budget: Budget, declarations: Declarations
 ) -> Errors:
     if budget.team not in declarations.teams:
@@ -109,7 +109,7 @@
             yield ("budgets", name, "top_ups", str(index), "id"), top_up.id
 
 
-def _paid_services(
+def _budgeted_services(
     declarations: Declarations,
 ) -> Iterator[tuple[tuple[str, ...], tuple[str, str]]]:
     for name, budget in declarations.budgets.items():
@@ -118,7 +118,7 @@
             yield path, (budget.team, service)
 
 
-def _check_rules(declarations: Declarations) -> Errors:
+def _check_routing_rules(declarations: Declarations) -> Errors:
     for index, rule in enumerate(declarations.routing_rules):
         path = ("routing_rules", str(index))
         if rule.team != ANY_TEAM and rule.team not in declarations.teams:
