--- a/libs/declarations/src/clementinebend_declarations/checks.py
+++ b/libs/declarations/src/clementinebend_declarations/checks.py
@@ -1,7 +1,8 @@
-"""Checks of declarations that are well formed: bounds and cross references.
+"""Validation of well-formed declarations: value ranges and cross references.
 
-Replay rejects a publication by these rules, so every node must have the same
-ones: a rule may be added or changed only with a new schema version.
+Replay rejects publications by these rules, so all nodes must apply the same
+ones: a rule may be added or changed only with a new schema version. The texts
+of errors are stored in the audit trail, which the digest of the state covers.
 """
 
 from collections.abc import Iterator
@@ -30,7 +31,7 @@
 
 
 def check_declarations(declarations: Declarations) -> tuple[DeclarationError, ...]:
-    """Return all errors in declarations whose shape is right."""
+    """Return all errors in declarations that match the schema."""
     return tuple(
         chain(
             _check_teams(declarations),
