--- a/libs/bench/src/clementinebend_bench/slopes/documents.py
+++ b/libs/bench/src/clementinebend_bench/slopes/documents.py
@@ -4,7 +4,7 @@
 from hashlib import sha256
 from typing import Any
 
-from clementinebend_declarations.deltas import difference, document_digest
+from clementinebend_declarations.deltas import diff_documents, document_digest
 from clementinebend_declarations.schemas import FIRST_SCHEMA
 from clementinebend_records.records import Publication, TopUp
 
@@ -80,7 +80,7 @@
         source="4f1c2d9b7a60",
         author=AUTHOR,
         published_at="2026-12-02T18:00:00+00:00",
-        changes=difference(old, new),
+        changes=diff_documents(old, new),
         digest=document_digest(new),
     )
 
--- a/libs/declarations/src/clementinebend_declarations/deltas.py
+++ b/libs/declarations/src/clementinebend_declarations/deltas.py
@@ -20,7 +20,9 @@
     return canonical_digest(document)
 
 
-def difference(old: Mapping[str, Any], new: Mapping[str, Any]) -> tuple[Change, ...]:
+def diff_documents(
+    old: Mapping[str, Any], new: Mapping[str, Any]
+) -> tuple[Change, ...]:
     """Return the edits that turn ``old`` into ``new``, sorted by path."""
     return tuple(_differences(old, new, ()))
 
--- a/libs/declarations/src/clementinebend_declarations/documents.py
+++ b/libs/declarations/src/clementinebend_declarations/documents.py
@@ -9,7 +9,7 @@
 from clementinebend_declarations.checks import check_declarations
 from clementinebend_declarations.deltas import (
     apply_changes,
-    difference,
+    diff_documents,
     document_digest,
 )
 from clementinebend_declarations.exceptions import DeclarationError
@@ -28,7 +28,7 @@
     "apply_changes",
     "check_changed",
     "check_document",
-    "difference",
+    "diff_documents",
     "document_digest",
     "load_document",
     "load_files",
--- a/libs/operator_cli/src/clementinebend_operator_cli/commands/diff.py
+++ b/libs/operator_cli/src/clementinebend_operator_cli/commands/diff.py
@@ -4,7 +4,7 @@
 
 from expression import Error
 
-from clementinebend_declarations.documents import difference
+from clementinebend_declarations.documents import diff_documents
 from clementinebend_declarations.replay import configuration_of
 from clementinebend_declarations.state import ConfigurationState, document_of
 from clementinebend_operator_cli.models.operator import Operator
@@ -40,7 +40,7 @@
 
 
 def _report(state: ConfigurationState, declared: Declared) -> Report:
-    changes = difference(document_of(state), declared.document)
+    changes = diff_documents(document_of(state), declared.document)
     revision = configuration_of(state).revision
     lines = tuple(map(change_line, changes)) or ("no change",)
     head = f"against revision {revision}:"
--- a/libs/operator_cli/src/clementinebend_operator_cli/commands/drain.py
+++ b/libs/operator_cli/src/clementinebend_operator_cli/commands/drain.py
@@ -4,7 +4,7 @@
 
 from expression import Error, Ok, Result
 
-from clementinebend_declarations.deltas import apply_changes, difference
+from clementinebend_declarations.deltas import apply_changes, diff_documents
 from clementinebend_declarations.models import EndpointState
 from clementinebend_declarations.replay import configuration_of
 from clementinebend_declarations.schemas import FIRST_SCHEMA
@@ -65,7 +65,7 @@
     change = _change(endpoint, wanted, configuration.schema_version)
     document = document_of(state)
     changed = apply_changes(document, (change,))
-    return Ok(Edit(difference(document, changed), SOURCE))
+    return Ok(Edit(diff_documents(document, changed), SOURCE))
 
 
 def _change(endpoint: str, wanted: EndpointState, schema_version: int) -> Change:
--- a/libs/operator_cli/src/clementinebend_operator_cli/commands/publish.py
+++ b/libs/operator_cli/src/clementinebend_operator_cli/commands/publish.py
@@ -4,7 +4,7 @@
 
 from expression import Error, Ok, Result
 
-from clementinebend_declarations.documents import difference
+from clementinebend_declarations.documents import diff_documents
 from clementinebend_declarations.replay import configuration_of
 from clementinebend_declarations.schemas import FIRST_SCHEMA, VERSION_KEY
 from clementinebend_declarations.state import ConfigurationState, document_of
@@ -90,7 +90,7 @@
             f"every entry reads it, run `clementinebend activate {version}`"
         )
         return Error(invalid_input(message))
-    changes = difference(document_of(state), declared.document)
+    changes = diff_documents(document_of(state), declared.document)
     return Ok(Edit(changes, source))
 
 
--- a/tests/unit/declarations/samples.py
+++ b/tests/unit/declarations/samples.py
@@ -4,7 +4,7 @@
 from hashlib import sha256
 from typing import Any
 
-from clementinebend_declarations.documents import difference, document_digest
+from clementinebend_declarations.documents import diff_documents, document_digest
 from clementinebend_declarations.replay import configuration_of
 from clementinebend_declarations.schemas import FIRST_SCHEMA, VERSION_KEY
 from clementinebend_declarations.state import ConfigurationState, document_of
@@ -69,7 +69,7 @@
         source="4f2a",
         author=AUTHOR,
         published_at=WHEN,
-        changes=difference(document_of(state), changed),
+        changes=diff_documents(document_of(state), changed),
         digest=document_digest(changed),
     )
     return made._replace(**fields)
--- a/tests/unit/declarations/test_deltas.py
+++ b/tests/unit/declarations/test_deltas.py
@@ -1,4 +1,4 @@
-"""Edits: a difference, applied, gives the other document."""
+"""Edits: applying the diff of two documents to one gives the other."""
 
 from functools import reduce
 from os import environ
@@ -8,7 +8,7 @@
 
 from clementinebend_declarations.documents import (
     apply_changes,
-    difference,
+    diff_documents,
     document_digest,
 )
 from clementinebend_records.records import Change
@@ -34,7 +34,7 @@
     old: dict[str, object], new: dict[str, object]
 ) -> None:
     before = document_digest(old)
-    edits = difference(old, new)
+    edits = diff_documents(old, new)
     assert document_digest(apply_changes(old, edits)) == document_digest(new)
     assert document_digest(old) == before
     assert bool(edits) is (before != document_digest(new))
--- a/tests/unit/declarations/test_documents.py
+++ b/tests/unit/declarations/test_documents.py
@@ -9,7 +9,7 @@
 from clementinebend_declarations.documents import (
     apply_changes,
     check_document,
-    difference,
+    diff_documents,
     document_digest,
     load_document,
     load_files,
@@ -251,7 +251,7 @@
     old = {"a": {"b": 1, "c": [1]}, "d": {"e": {}}}
     new = {"a": {"b": True, "c": [1.0]}, "f": {}}
     before = document_digest(old)
-    changes = difference(old, new)
+    changes = diff_documents(old, new)
     assert [change.path for change in changes] == [
         ("a", "b"),
         ("a", "c"),
--- a/tests/unit/operator_cli/test_publish.py
+++ b/tests/unit/operator_cli/test_publish.py
@@ -6,7 +6,7 @@
 import pytest
 from expression import Ok, Result
 
-from clementinebend_declarations.documents import difference
+from clementinebend_declarations.documents import diff_documents
 from clementinebend_declarations.models import EndpointState
 from clementinebend_declarations.replay import (
     configuration_checkpoint,
@@ -66,7 +66,7 @@
         put(log, CONFIGURATION_STREAM, publication(state, other, author="milan"))
         ours = document()
         ours["teams"]["levoca"] = {"key_digests": []}
-        return Ok(Edit(difference(document_of(state), ours)))
+        return Ok(Edit(diff_documents(document_of(state), ours)))
 
     async with operator_on(log) as operator:
         outcome = await publish_edit(operator, edit_while_other_publishes)
@@ -115,7 +115,7 @@
 
     def edit(state: ConfigurationState) -> Any:
         setattr(log, fault, True)
-        return Ok(Edit(difference(document_of(state), document())))
+        return Ok(Edit(diff_documents(document_of(state), document())))
 
     async with operator_on(log, patience=IMPATIENT) as operator:
         outcome = await publish_edit(operator, edit)
