--- a/libs/declarations/src/clementinebend_declarations/deltas.py
+++ b/libs/declarations/src/clementinebend_declarations/deltas.py
@@ -24,7 +24,7 @@
     old: Mapping[str, Any], new: Mapping[str, Any]
 ) -> tuple[Change, ...]:
     """Return the edits that turn ``old`` into ``new``, sorted by path."""
-    return tuple(_differences(old, new, ()))
+    return tuple(_iter_changes(old, new, ()))
 
 
 def apply_changes(document: Mapping[str, Any], changes: tuple[Change, ...]) -> Document:
@@ -33,16 +33,16 @@
     Parts that no edit touches are the same objects in both.
     """
     changed = dict(document)
-    for key, edits in _by_first_key(changes).items():
-        for is_here, run in groupby(edits, key=_ends_here):
-            if is_here:
-                _apply_here(changed, key, tuple(run))
+    for key, edits in _group_by_first_key(changes).items():
+        for is_at_key, group in groupby(edits, key=_has_single_key):
+            if is_at_key:
+                _apply_at_key(changed, key, tuple(group))
             else:
-                _apply_below(changed, key, tuple(run))
+                _apply_nested(changed, key, tuple(group))
     return changed
 
 
-def _by_first_key(changes: tuple[Change, ...]) -> dict[str, list[Change]]:
+def _group_by_first_key(changes: tuple[Change, ...]) -> dict[str, list[Change]]:
     """Group edits by where they begin; those of different keys commute."""
     groups: dict[str, list[Change]] = {}
     for change in changes:
@@ -51,11 +51,11 @@
     return groups
 
 
-def _ends_here(change: Change) -> bool:
+def _has_single_key(change: Change) -> bool:
     return len(change.path) == 1
 
 
-def _apply_here(document: Document, key: str, edits: tuple[Change, ...]) -> None:
+def _apply_at_key(document: Document, key: str, edits: tuple[Change, ...]) -> None:
     last = edits[-1]
     if last.remove:
         document.pop(key, None)
@@ -63,31 +63,31 @@
         document[key] = last.value
 
 
-def _apply_below(document: Document, key: str, edits: tuple[Change, ...]) -> None:
+def _apply_nested(document: Document, key: str, edits: tuple[Change, ...]) -> None:
     inner = document.get(key)
-    below = tuple(change._replace(path=change.path[1:]) for change in edits)
+    nested = tuple(change._replace(path=change.path[1:]) for change in edits)
     if isinstance(inner, dict):
-        document[key] = apply_changes(inner, below)
+        document[key] = apply_changes(inner, nested)
         return
-    added = tuple(dropwhile(lambda change: change.remove, below))
+    added = tuple(dropwhile(lambda change: change.remove, nested))
     if added:
         document[key] = apply_changes({}, added)
 
 
-def _differences(
+def _iter_changes(
     old: Mapping[str, Any], new: Mapping[str, Any], prefix: tuple[str, ...]
 ) -> Iterator[Change]:
     for key in sorted(old.keys() | new.keys()):
         path = (*prefix, key)
         if key not in new:
             yield Change(path, None, remove=True)
-        elif _have_parts(old, new, key, is_section=not prefix):
-            yield from _differences(old.get(key, {}), new[key], path)
+        elif _are_compared_by_key(old, new, key, is_section=not prefix):
+            yield from _iter_changes(old.get(key, {}), new[key], path)
         elif key not in old or canonical(old[key]) != canonical(new[key]):
             yield Change(path, new[key])
 
 
-def _have_parts(
+def _are_compared_by_key(
     old: Mapping[str, Any], new: Mapping[str, Any], key: str, is_section: bool
 ) -> bool:
     """Return whether to compare the values under ``key`` part by part.
