--- a/libs/declarations/src/clementinebend_declarations/deltas.py
+++ b/libs/declarations/src/clementinebend_declarations/deltas.py
@@ -1,8 +1,9 @@
-"""Differences between documents, as edits of key paths.
+"""Diffs between documents, as edits of key paths.
 
-Mappings are compared key by key; every other value, lists among them, is
-replaced whole. Applying is total: any edit has one result on any document,
-and the digest of a publication tells whether it was the one meant.
+Mappings are compared key by key; any other value, lists included, is replaced
+as a whole. Applying edits never fails: each edit has exactly one result on any
+document, and the digest in a publication shows whether the result is the
+intended document.
 """
 
 from collections.abc import Iterator, Mapping
@@ -16,7 +17,7 @@
 
 
 def document_digest(document: Mapping[str, Any]) -> str:
-    """Return the digest of a document, the same whatever its key order."""
+    """Return the digest of a document; it does not depend on the key order."""
     return canonical_digest(document)
 
 
@@ -28,9 +29,9 @@
 
 
 def apply_changes(document: Mapping[str, Any], changes: tuple[Change, ...]) -> Document:
-    """Return a document with the edits made; the one handed in stays as is.
+    """Return a copy of a document with the edits applied.
 
-    Parts that no edit touches are the same objects in both.
+    Parts that no edit changes are the same objects in both documents.
     """
     changed = dict(document)
     for key, edits in _group_by_first_key(changes).items():
@@ -43,7 +44,7 @@
 
 
 def _group_by_first_key(changes: tuple[Change, ...]) -> dict[str, list[Change]]:
-    """Group edits by where they begin; those of different keys commute."""
+    """Group edits by their first key; edits of different keys commute."""
     groups: dict[str, list[Change]] = {}
     for change in changes:
         if change.path:
@@ -90,9 +91,10 @@
 def _are_compared_by_key(
     old: Mapping[str, Any], new: Mapping[str, Any], key: str, is_section: bool
 ) -> bool:
-    """Return whether to compare the values under ``key`` part by part.
+    """Return whether to compare the values under ``key`` key by key.
 
-    A new section counts as an empty one before, so that edits name its parts.
+    A new section is compared with an empty one, so that each of its parts gets
+    an edit of its own.
     """
     if not isinstance(new[key], Mapping):
         return False
