--- a/libs/declarations/src/clementinebend_declarations/documents.py
+++ b/libs/declarations/src/clementinebend_declarations/documents.py
@@ -26,7 +26,7 @@
 __all__ = [
     "LoadedDocument",
     "apply_changes",
-    "check_changed",
+    "check_changed_document",
     "check_document",
     "diff_documents",
     "document_digest",
@@ -76,10 +76,10 @@
             f"nested at most {MAX_DEPTH} deep"
         )
         return Error((DeclarationError((), problem, allowed),))
-    return _checked(read_declarations(dict(document)))
+    return _validated(read_declarations(dict(document)))
 
 
-def check_changed(
+def check_changed_document(
     document: Mapping[str, Any], known: Mapping[str, Any], declarations: Declarations
 ) -> Result[Declarations, Errors]:
     """Check a plain document that was made by editing ``known``.
@@ -87,10 +87,10 @@
     Gives what ``check_document`` gives, in less time; ``declarations`` are
     those in ``known``, which was checked.
     """
-    return _checked(read_changed(dict(document), dict(known), declarations))
+    return _validated(read_changed(dict(document), dict(known), declarations))
 
 
-def _checked(read: Result[Declarations, Errors]) -> Result[Declarations, Errors]:
+def _validated(read: Result[Declarations, Errors]) -> Result[Declarations, Errors]:
     if read.is_error():
         return read
     errors = check_declarations(read.ok)
--- a/libs/declarations/src/clementinebend_declarations/publications.py
+++ b/libs/declarations/src/clementinebend_declarations/publications.py
@@ -12,7 +12,7 @@
     apply_changes,
     document_digest,
 )
-from clementinebend_declarations.documents import check_changed
+from clementinebend_declarations.documents import check_changed_document
 from clementinebend_declarations.models import Configuration, Declarations
 from clementinebend_declarations.plain import MAX_DEPTH, is_plain, is_text
 from clementinebend_declarations.schemas import FIRST_SCHEMA, VERSION_KEY
@@ -85,7 +85,7 @@
 def _judge_document(
     in_force: Declarations, document: Document, changed: Document
 ) -> Result[Accepted, str]:
-    match check_changed(changed, document, in_force):
+    match check_changed_document(changed, document, in_force):
         case Result(tag="ok", ok=declarations):
             fault = _top_up_fault(in_force, declarations)
             return Error(fault) if fault else Ok(Accepted(changed, declarations))
