--- a/libs/declarations/src/clementinebend_declarations/documents.py
+++ b/libs/declarations/src/clementinebend_declarations/documents.py
@@ -32,7 +32,7 @@
     "document_digest",
     "load_document",
     "load_files",
-    "locate",
+    "add_file_names",
 ]
 
 Paths = str | Path | Iterable[str | Path]
@@ -97,7 +97,7 @@
     return Error(errors) if errors else read
 
 
-def locate(errors: Errors, files: Mapping[tuple[str, ...], str]) -> Errors:
+def add_file_names(errors: Errors, files: Mapping[tuple[str, ...], str]) -> Errors:
     """Return errors with the file in which the faulty part stands."""
     return tuple(error._replace(file=file_of(error.path, files)) for error in errors)
 
--- a/libs/operator_cli/src/clementinebend_operator_cli/utils/declared.py
+++ b/libs/operator_cli/src/clementinebend_operator_cli/utils/declared.py
@@ -4,7 +4,11 @@
 
 from expression import Error, Ok, Result
 
-from clementinebend_declarations.documents import check_document, load_files, locate
+from clementinebend_declarations.documents import (
+    add_file_names,
+    check_document,
+    load_files,
+)
 from clementinebend_declarations.exceptions import DeclarationError
 from clementinebend_declarations.models import Declarations
 from clementinebend_operator_cli.exceptions import CommandError, invalid_input
@@ -27,7 +31,7 @@
     document, files = loaded.ok
     checked = check_document(document)
     if checked.is_error():
-        return Error(_faulty(locate(checked.error, files)))
+        return Error(_faulty(add_file_names(checked.error, files)))
     return Ok(Declared(document, checked.ok))
 
 
--- a/tests/unit/declarations/test_documents.py
+++ b/tests/unit/declarations/test_documents.py
@@ -7,13 +7,13 @@
 import pytest
 
 from clementinebend_declarations.documents import (
+    add_file_names,
     apply_changes,
     check_document,
     diff_documents,
     document_digest,
     load_document,
     load_files,
-    locate,
 )
 from clementinebend_declarations.models import (
     EndpointState,
@@ -238,7 +238,7 @@
     (tmp_path / "a.yaml").write_text("teams: {a: {}}\n")
     (tmp_path / "b.yaml").write_text("teams: {b: {key_digests: 1}}\n")
     loaded = load_files(tmp_path).ok
-    errors = locate(check_document(loaded.document).error, loaded.files)
+    errors = add_file_names(check_document(loaded.document).error, loaded.files)
     assert [error.file[-6:] for error in errors] == ["a.yaml", "b.yaml"]
 
 
