--- a/libs/declarations/src/clementinebend_declarations/documents.py
+++ b/libs/declarations/src/clementinebend_declarations/documents.py
@@ -1,4 +1,4 @@
-"""Documents as operators write them: loading YAML files, and checking."""
+"""Loading and validation of documents, as operators write them in YAML files."""
 
 from collections.abc import Iterable, Mapping
 from pathlib import Path
@@ -41,7 +41,7 @@
 def load_document(paths: Paths) -> Result[dict[str, Any], DeclarationError]:
     """Return the document in a YAML file, or in a directory of them.
 
-    Gives the first of the errors; ``load_files`` gives them all.
+    Only the first error is returned; ``load_files`` returns all of them.
     """
     match load_files(paths):
         case Result(tag="error", error=errors):
@@ -52,7 +52,7 @@
 
 
 def load_files(paths: Paths) -> Result[LoadedDocument, Errors]:
-    """Return the merged document and where its parts stand, or all errors."""
+    """Return the merged document and the file of each part, or all errors."""
     files = _yaml_files(paths)
     if not files:
         problem = "has no *.yaml file"
@@ -70,10 +70,10 @@
 def check_document(document: Mapping[str, Any]) -> Result[Declarations, Errors]:
     """Return the declarations in a document, or all errors found in it."""
     if not is_plain(document):
-        problem = "holds a value that not every node reads alike"
+        problem = "contains a value that some codecs cannot represent"
         allowed = (
-            f"texts, finite numbers up to 64 bits, lists and mappings with text keys, "
-            f"nested at most {MAX_DEPTH} deep"
+            f"strings, finite numbers up to 64 bits, lists and mappings with string "
+            f"keys, nested at most {MAX_DEPTH} levels deep"
         )
         return Error((DeclarationError((), problem, allowed),))
     return _validated(read_declarations(dict(document)))
@@ -84,8 +84,8 @@
 ) -> Result[Declarations, Errors]:
     """Check a plain document that was made by editing ``known``.
 
-    Gives what ``check_document`` gives, in less time; ``declarations`` are
-    those in ``known``, which was checked.
+    Returns the same as ``check_document`` in less time. ``declarations`` are
+    those of ``known``, which has passed the checks before.
     """
     return _validated(read_changed(dict(document), dict(known), declarations))
 
@@ -98,7 +98,7 @@
 
 
 def add_file_names(errors: Errors, files: Mapping[tuple[str, ...], str]) -> Errors:
-    """Return errors with the file in which the faulty part stands."""
+    """Return errors with the file that contains the invalid part."""
     return tuple(error._replace(file=file_of(error.path, files)) for error in errors)
 
 
--- a/tests/unit/declarations/test_documents.py
+++ b/tests/unit/declarations/test_documents.py
@@ -142,7 +142,7 @@
     ),
     "number that is none": (
         lambda it: it["teams"]["presov"].update(weight=float("nan")),
-        "holds a value that not every node reads alike",
+        "contains a value that some codecs cannot represent",
     ),
     "schema of the future": (
         lambda it: it.update(schema_version=3),
