--- a/libs/declarations/src/clementinebend_declarations/exceptions.py
+++ b/libs/declarations/src/clementinebend_declarations/exceptions.py
@@ -1,10 +1,10 @@
-"""Errors of declarations: a value for what users wrote, one for damage."""
+"""Errors of declarations: a value for invalid input, an exception for damage."""
 
 from typing import NamedTuple
 
 
 class DeclarationError(NamedTuple):
-    """One fault in the declarations: where, what, and what is allowed."""
+    """An error in the declarations: its key path, the problem and what is allowed."""
 
     path: tuple[str, ...]
     problem: str
@@ -12,7 +12,7 @@
     file: str = ""
 
     def __str__(self) -> str:
-        """Return one line that tells a user what to change."""
+        """Return one line that tells the user what to change."""
         place = ".".join(self.path)
         found = f"{place} {self.problem}".strip()
         prefix = f"{self.file}: " if self.file else ""
@@ -20,7 +20,7 @@
 
 
 class CheckpointError(Exception):
-    """A checkpoint does not match its own digest, or has another shape.
+    """A checkpoint does not match its own digest or cannot be decoded.
 
-    The log or a peer handed on damaged bytes: take another checkpoint.
+    The log or a peer returned damaged bytes: use another checkpoint.
     """
