--- a/libs/declarations/src/clementinebend_declarations/documents.py
+++ b/libs/declarations/src/clementinebend_declarations/documents.py
@@ -15,7 +15,7 @@
 from clementinebend_declarations.exceptions import DeclarationError
 from clementinebend_declarations.merging import (
     LoadedDocument,
-    file_of,
+    find_file,
     merge_documents,
 )
 from clementinebend_declarations.models import Declarations
@@ -99,7 +99,7 @@
 
 def add_file_names(errors: Errors, files: Mapping[tuple[str, ...], str]) -> Errors:
     """Return errors with the file that contains the invalid part."""
-    return tuple(error._replace(file=file_of(error.path, files)) for error in errors)
+    return tuple(error._replace(file=find_file(error.path, files)) for error in errors)
 
 
 def _yaml_files(paths: Paths) -> list[Path]:
--- a/libs/declarations/src/clementinebend_declarations/merging.py
+++ b/libs/declarations/src/clementinebend_declarations/merging.py
@@ -21,7 +21,7 @@
     files: dict[tuple[str, ...], str]
 
 
-def file_of(path: tuple[str, ...], files: Mapping[tuple[str, ...], str]) -> str:
+def find_file(path: tuple[str, ...], files: Mapping[tuple[str, ...], str]) -> str:
     """Return the file in which the part at a key path stands, if known."""
     prefixes = (path[:length] for length in range(len(path), -1, -1))
     return next((files[prefix] for prefix in prefixes if prefix in files), "")
@@ -34,12 +34,12 @@
     merged = LoadedDocument({}, {})
     errors: list[DeclarationError] = []
     for file, document in documents:
-        errors.extend(_conflicts(merged, file, document))
-        merged = _merge_one(merged, file, document)
+        errors.extend(_find_conflicts(merged, file, document))
+        merged = _merge_document(merged, file, document)
     return Error(tuple(errors)) if errors else Ok(merged)
 
 
-def _conflicts(
+def _find_conflicts(
     merged: LoadedDocument, file: str, document: dict[str, Any]
 ) -> Iterable[DeclarationError]:
     for section, value in document.items():
@@ -48,24 +48,26 @@
             names = [name for name in value if name in earlier and earlier is not value]
             for name in names:
                 path = (section, name)
-                first = file_of(path, merged.files)
+                first = find_file(path, merged.files)
                 problem = f"stands in {first} already"
                 yield DeclarationError(path, problem, "each name once", file)
-        elif type(value) is not type(earlier) or _differ(value, earlier):
-            first = file_of((section,), merged.files)
+        elif type(value) is not type(earlier) or _is_other_scalar(value, earlier):
+            first = find_file((section,), merged.files)
             problem = f"differs from the one in {first}"
             yield DeclarationError((section,), problem, "one value or kind", file)
 
 
-def _differ(value: Any, earlier: Any) -> bool:
+def _is_other_scalar(value: Any, earlier: Any) -> bool:
     return not isinstance(value, list) and bool(value != earlier)
 
 
-def _merge_one(
+def _merge_document(
     merged: LoadedDocument, file: str, document: dict[str, Any]
 ) -> LoadedDocument:
     return reduce(
-        lambda so_far, section: _merge_section(so_far, file, section, document),
+        lambda accumulated, section: _merge_section(
+            accumulated, file, section, document
+        ),
         document,
         merged,
     )
@@ -79,14 +81,14 @@
     files = {(section,): file} | merged.files
     if isinstance(value, dict):
         files |= {(section, name): file for name in value}
-        known = earlier if isinstance(earlier, dict) else {}
-        return LoadedDocument(merged.document | {section: known | value}, files)
+        existing = earlier if isinstance(earlier, dict) else {}
+        return LoadedDocument(merged.document | {section: existing | value}, files)
     if isinstance(value, list):
-        known_items = earlier if isinstance(earlier, list) else []
-        start = len(known_items)
-        places = range(start, start + len(value))
-        files |= {(section, str(index)): file for index in places}
+        existing_items = earlier if isinstance(earlier, list) else []
+        start = len(existing_items)
+        indexes = range(start, start + len(value))
+        files |= {(section, str(index)): file for index in indexes}
         return LoadedDocument(
-            merged.document | {section: [*known_items, *value]}, files
+            merged.document | {section: [*existing_items, *value]}, files
         )
     return LoadedDocument(merged.document | {section: value}, files)
