--- a/libs/declarations/src/clementinebend_declarations/merging.py
+++ b/libs/declarations/src/clementinebend_declarations/merging.py
@@ -1,7 +1,7 @@
-"""Merging the documents of several files into one.
+"""Merging of the documents of several files into one.
 
-A name stands in one file only; routing rules follow one another in the order
-of file names.
+Each name may be declared in one file only; routing rules are concatenated in
+the order of the file names.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,14 +15,14 @@
 
 
 class LoadedDocument(NamedTuple):
-    """A merged document, and the file in which each part of it stands."""
+    """A merged document and the file of each of its parts."""
 
     document: dict[str, Any]
     files: dict[tuple[str, ...], str]
 
 
 def find_file(path: tuple[str, ...], files: Mapping[tuple[str, ...], str]) -> str:
-    """Return the file in which the part at a key path stands, if known."""
+    """Return the file that declares the part at a key path, or an empty string."""
     prefixes = (path[:length] for length in range(len(path), -1, -1))
     return next((files[prefix] for prefix in prefixes if prefix in files), "")
 
@@ -49,12 +49,14 @@
             for name in names:
                 path = (section, name)
                 first = find_file(path, merged.files)
-                problem = f"stands in {first} already"
-                yield DeclarationError(path, problem, "each name once", file)
+                problem = f"is already declared in {first}"
+                yield DeclarationError(path, problem, "each name in one file", file)
         elif type(value) is not type(earlier) or _is_other_scalar(value, earlier):
             first = find_file((section,), merged.files)
-            problem = f"differs from the one in {first}"
-            yield DeclarationError((section,), problem, "one value or kind", file)
+            problem = f"differs from the value in {first}"
+            yield DeclarationError(
+                (section,), problem, "the same value or type in all files", file
+            )
 
 
 def _is_other_scalar(value: Any, earlier: Any) -> bool:
