--- a/libs/declarations/src/clementinebend_declarations/models.py
+++ b/libs/declarations/src/clementinebend_declarations/models.py
@@ -1,7 +1,7 @@
-"""The declarations in force, as every process sees them.
+"""Typed declarations, as all processes use them.
 
-Converted and checked by msgspec from the newest schema's document; older
-schemas are upgraded before that. Amounts are in tokens.
+``convert_mapping`` builds them from a document of the newest schema; documents
+of older schemas are upgraded first. Amounts are in tokens.
 """
 
 from enum import StrEnum
@@ -9,24 +9,24 @@
 
 
 class ServiceKind(StrEnum):
-    """What stands behind a service's endpoints."""
+    """Kind of the back ends of a service."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class EndpointState(StrEnum):
-    """Whether operators want an endpoint to get new work."""
+    """Whether an endpoint gets new requests, as declared by operators."""
 
     SERVING = "serving"
     LEAVING = "leaving"
 
 
 class ReceiptSafety(StrEnum):
-    """Where a receipt must be before the caller gets the last frame.
+    """Where a receipt must be stored before the caller gets the last frame.
 
-    ``TWO_ZONES`` refuses to go on without a second availability zone;
-    ``TWO_HOSTS`` accepts two hosts of one zone when it is cut off alone.
+    ``TWO_ZONES`` requires a second availability zone; ``TWO_HOSTS`` accepts two
+    hosts of one zone while that zone is cut off from the others.
     """
 
     TWO_ZONES = "two_zones"
@@ -34,7 +34,10 @@
 
 
 class Team(NamedTuple):
-    """A customer; callers show one of its keys, kept as SHA-256 digests."""
+    """A customer; callers authenticate with one of its keys.
+
+    Only the SHA-256 digests of the keys are stored.
+    """
 
     key_digests: tuple[str, ...]
     weight: float = 1.0
@@ -57,10 +60,11 @@
 
 
 class Service(NamedTuple):
-    """What callers ask for: a pool of model engines, or a plain service.
+    """A pool of model engines, or a plain HTTP service.
 
-    ``path`` is the prefix of a plain service; ``cost`` its tokens per call.
-    ``idempotent_methods`` may be repeated; other calls run at most once.
+    ``path`` is the path prefix of a plain service, ``cost`` its price per call in
+    tokens. Calls with ``idempotent_methods`` may be retried; others run at most
+    once.
     """
 
     kind: ServiceKind
@@ -73,7 +77,7 @@
 
 
 class Endpoint(NamedTuple):
-    """A back end and the sidecar in front of it; ``host`` is an IP number."""
+    """A back end and the sidecar in front of it; ``host`` is an IP address."""
 
     service: str
     zone: str
@@ -92,7 +96,7 @@
 
 
 class Limits(NamedTuple):
-    """Limits that hold for the whole fleet."""
+    """Limits that apply to the whole fleet."""
 
     max_body_bytes: int = 1_048_576
     default_deadline_ms: int = 60_000
@@ -101,7 +105,7 @@
 
 
 class Declarations(NamedTuple):
-    """All that operators declare; keys of the maps are names."""
+    """All declarations of the operators; the dictionaries are keyed by name."""
 
     teams: dict[str, Team] = {}
     budgets: dict[str, Budget] = {}
@@ -112,7 +116,7 @@
 
 
 class Configuration(NamedTuple):
-    """What replay of the configuration stream has in force."""
+    """The configuration in force after replay of the configuration stream."""
 
     revision: int = 0
     activated_schema: int = 1
