--- a/libs/declarations/src/clementinebend_declarations/checkpoints.py
+++ b/libs/declarations/src/clementinebend_declarations/checkpoints.py
@@ -14,7 +14,11 @@
 from clementinebend_declarations.documents import check_document
 from clementinebend_declarations.exceptions import CheckpointError
 from clementinebend_declarations.models import Configuration, Declarations
-from clementinebend_declarations.plain import canonical, canonical_digest, is_plain
+from clementinebend_declarations.plain_values import (
+    canonical,
+    canonical_digest,
+    is_plain,
+)
 from clementinebend_declarations.state import AuditEntry, ConfigurationState
 from clementinebend_records.codec import SCHEMA_VERSION
 from clementinebend_records.records import Checkpoint
--- a/libs/declarations/src/clementinebend_declarations/deltas.py
+++ b/libs/declarations/src/clementinebend_declarations/deltas.py
@@ -10,7 +10,7 @@
 from itertools import dropwhile, groupby
 from typing import Any
 
-from clementinebend_declarations.plain import canonical, canonical_digest
+from clementinebend_declarations.plain_values import canonical, canonical_digest
 from clementinebend_records.records import Change
 
 Document = dict[str, Any]
--- a/libs/declarations/src/clementinebend_declarations/documents.py
+++ b/libs/declarations/src/clementinebend_declarations/documents.py
@@ -19,7 +19,7 @@
     merge_documents,
 )
 from clementinebend_declarations.models import Declarations
-from clementinebend_declarations.plain import MAX_DEPTH, is_plain
+from clementinebend_declarations.plain_values import MAX_DEPTH, is_plain
 from clementinebend_declarations.schemas import Errors, read_changed, read_declarations
 from clementinebend_declarations.yaml_files import read_yaml
 
--- a/libs/declarations/src/clementinebend_declarations/publications.py
+++ b/libs/declarations/src/clementinebend_declarations/publications.py
@@ -14,7 +14,7 @@
 )
 from clementinebend_declarations.documents import check_changed_document
 from clementinebend_declarations.models import Configuration, Declarations
-from clementinebend_declarations.plain import MAX_DEPTH, is_plain, is_text
+from clementinebend_declarations.plain_values import MAX_DEPTH, is_plain, is_text
 from clementinebend_declarations.schemas import FIRST_SCHEMA, VERSION_KEY
 from clementinebend_records.records import Change, Publication, SchemaActivation
 
--- a/libs/operator_cli/src/clementinebend_operator_cli/cli/parser.py
+++ b/libs/operator_cli/src/clementinebend_operator_cli/cli/parser.py
@@ -14,7 +14,7 @@
 from fire import Fire
 from fire.decorators import SetParseFn
 
-from clementinebend_declarations.plain import is_text
+from clementinebend_declarations.plain_values import is_text
 from clementinebend_operator_cli.commands.activate import activate
 from clementinebend_operator_cli.commands.audit import audit
 from clementinebend_operator_cli.commands.budget_resolve import budget_resolve
--- a/libs/operator_cli/src/clementinebend_operator_cli/utils/operators.py
+++ b/libs/operator_cli/src/clementinebend_operator_cli/utils/operators.py
@@ -6,7 +6,7 @@
 
 from expression import Error, Ok, Result
 
-from clementinebend_declarations.plain import is_text
+from clementinebend_declarations.plain_values import is_text
 from clementinebend_operator_cli.exceptions import CommandError, invalid_input
 from clementinebend_operator_cli.models.operator import Operator
 from clementinebend_operator_cli.models.report import Outcome
