--- a/libs/declarations/src/clementinebend_declarations/plain_values.py
+++ b/libs/declarations/src/clementinebend_declarations/plain_values.py
@@ -19,12 +19,14 @@
     if depth < 0:
         return False
     if isinstance(value, str):
-        return is_text(value)
+        return is_utf8_encodable(value)
     if value is None or isinstance(value, bool | int | float):
         return is_plain_number(value)
     if isinstance(value, Mapping):
         return all(
-            isinstance(key, str) and is_text(key) and is_plain(item, depth - 1)
+            isinstance(key, str)
+            and is_utf8_encodable(key)
+            and is_plain(item, depth - 1)
             for key, item in value.items()
         )
     return isinstance(value, list) and all(is_plain(item, depth - 1) for item in value)
@@ -37,7 +39,7 @@
     return value is None or MIN_INTEGER <= value <= MAX_INTEGER
 
 
-def is_text(value: str) -> bool:
+def is_utf8_encodable(value: str) -> bool:
     """Return whether ``value`` can be written as UTF-8."""
     try:
         value.encode()
--- a/libs/operator_cli/src/clementinebend_operator_cli/cli/parser.py
+++ b/libs/operator_cli/src/clementinebend_operator_cli/cli/parser.py
@@ -14,7 +14,7 @@
 from fire import Fire
 from fire.decorators import SetParseFn
 
-from clementinebend_declarations.plain_values import is_text
+from clementinebend_declarations.plain_values import is_utf8_encodable
 from clementinebend_operator_cli.commands.activate import activate
 from clementinebend_operator_cli.commands.audit import audit
 from clementinebend_operator_cli.commands.budget_resolve import budget_resolve
@@ -73,7 +73,7 @@
 
     Raises ``SystemExit`` after showing help (0) or a usage error (2).
     """
-    if not all(map(is_text, words)):
+    if not all(map(is_utf8_encodable, words)):
         return Error(invalid_input("the command line is not UTF-8"))
     as_json = JSON_FLAG in words
     rest = [word for word in words if word != JSON_FLAG]
--- a/libs/operator_cli/src/clementinebend_operator_cli/utils/operators.py
+++ b/libs/operator_cli/src/clementinebend_operator_cli/utils/operators.py
@@ -6,7 +6,7 @@
 
 from expression import Error, Ok, Result
 
-from clementinebend_declarations.plain_values import is_text
+from clementinebend_declarations.plain_values import is_utf8_encodable
 from clementinebend_operator_cli.exceptions import CommandError, invalid_input
 from clementinebend_operator_cli.models.operator import Operator
 from clementinebend_operator_cli.models.report import Outcome
@@ -63,7 +63,7 @@
     if not operator.author:
         message = "no author: give --author, or set author in the settings"
         return invalid_input(message)
-    if not is_text(operator.author):
+    if not is_utf8_encodable(operator.author):
         return invalid_input("the author in the settings is not UTF-8")
     return None
 
