--- a/libs/declarations/src/clementinebend_declarations/checkpoints.py
+++ b/libs/declarations/src/clementinebend_declarations/checkpoints.py
@@ -15,9 +15,9 @@
 from clementinebend_declarations.exceptions import CheckpointError
 from clementinebend_declarations.models import Configuration, Declarations
 from clementinebend_declarations.plain_values import (
-    canonical,
     canonical_digest,
-    is_plain,
+    canonical_json,
+    is_plain_value,
 )
 from clementinebend_declarations.state import AuditEntry, ConfigurationState
 from clementinebend_records.codec import SCHEMA_VERSION
@@ -69,7 +69,7 @@
 
 def encode_configuration_state(state: ConfigurationState) -> bytes:
     """Return a state as canonical JSON."""
-    return canonical(
+    return canonical_json(
         {SUMMARY_KEY: _summarize(state), DOCUMENT_KEY: state.document}
     ).encode()
 
@@ -103,7 +103,7 @@
 
 
 def _decode_state(summary: dict[str, Any], document: Any) -> ConfigurationState:
-    if not isinstance(document, dict) or not is_plain(document):
+    if not isinstance(document, dict) or not is_plain_value(document):
         raise ValueError("the document is not a mapping of plain values")
     schema_version = convert(summary["schema_version"], int)
     configuration = Configuration(
--- a/libs/declarations/src/clementinebend_declarations/deltas.py
+++ b/libs/declarations/src/clementinebend_declarations/deltas.py
@@ -10,7 +10,7 @@
 from itertools import dropwhile, groupby
 from typing import Any
 
-from clementinebend_declarations.plain_values import canonical, canonical_digest
+from clementinebend_declarations.plain_values import canonical_digest, canonical_json
 from clementinebend_records.records import Change
 
 Document = dict[str, Any]
@@ -84,7 +84,7 @@
             yield Change(path, None, remove=True)
         elif _are_compared_by_key(old, new, key, is_section=not prefix):
             yield from _iter_changes(old.get(key, {}), new[key], path)
-        elif key not in old or canonical(old[key]) != canonical(new[key]):
+        elif key not in old or canonical_json(old[key]) != canonical_json(new[key]):
             yield Change(path, new[key])
 
 
--- a/libs/declarations/src/clementinebend_declarations/documents.py
+++ b/libs/declarations/src/clementinebend_declarations/documents.py
@@ -19,7 +19,7 @@
     merge_documents,
 )
 from clementinebend_declarations.models import Declarations
-from clementinebend_declarations.plain_values import MAX_DEPTH, is_plain
+from clementinebend_declarations.plain_values import MAX_DEPTH, is_plain_value
 from clementinebend_declarations.schemas import Errors, read_changed, read_declarations
 from clementinebend_declarations.yaml_files import read_yaml
 
@@ -69,7 +69,7 @@
 
 def check_document(document: Mapping[str, Any]) -> Result[Declarations, Errors]:
     """Return the declarations in a document, or all errors found in it."""
-    if not is_plain(document):
+    if not is_plain_value(document):
         problem = "contains a value that some codecs cannot represent"
         allowed = (
             f"strings, finite numbers up to 64 bits, lists and mappings with string "
--- a/libs/declarations/src/clementinebend_declarations/plain_values.py
+++ b/libs/declarations/src/clementinebend_declarations/plain_values.py
@@ -14,7 +14,7 @@
 MIN_INTEGER = -(2**63)
 
 
-def is_plain(value: Any, depth: int = MAX_DEPTH) -> bool:
+def is_plain_value(value: Any, depth: int = MAX_DEPTH) -> bool:
     """Return whether ``value`` has the same meaning in every codec in use."""
     if depth < 0:
         return False
@@ -26,10 +26,12 @@
         return all(
             isinstance(key, str)
             and is_utf8_encodable(key)
-            and is_plain(item, depth - 1)
+            and is_plain_value(item, depth - 1)
             for key, item in value.items()
         )
-    return isinstance(value, list) and all(is_plain(item, depth - 1) for item in value)
+    return isinstance(value, list) and all(
+        is_plain_value(item, depth - 1) for item in value
+    )
 
 
 def is_plain_number(value: bool | int | float | None) -> bool:
@@ -48,11 +50,11 @@
     return True
 
 
-def canonical(value: Any) -> str:
+def canonical_json(value: Any) -> str:
     """Return the one encoding of a plain value, with sorted keys."""
     return dumps(value, sort_keys=True, separators=(",", ":"))
 
 
 def canonical_digest(value: Any) -> str:
     """Return the digest of a plain value's canonical encoding."""
-    return digest_of(canonical(value).encode())
+    return digest_of(canonical_json(value).encode())
--- a/libs/declarations/src/clementinebend_declarations/publications.py
+++ b/libs/declarations/src/clementinebend_declarations/publications.py
@@ -16,7 +16,7 @@
 from clementinebend_declarations.models import Configuration, Declarations
 from clementinebend_declarations.plain_values import (
     MAX_DEPTH,
-    is_plain,
+    is_plain_value,
     is_utf8_encodable,
 )
 from clementinebend_declarations.schemas import FIRST_SCHEMA, VERSION_KEY
@@ -69,7 +69,9 @@
 def is_plain_change(change: Change) -> bool:
     """Return whether a plain document stays plain with the change made."""
     levels = MAX_DEPTH - len(change.path)
-    return all(map(is_utf8_encodable, change.path)) and is_plain(change.value, levels)
+    return all(map(is_utf8_encodable, change.path)) and is_plain_value(
+        change.value, levels
+    )
 
 
 def shown_paths(changes: tuple[Change, ...], count: int) -> tuple[str, ...]:
