--- a/libs/declarations/src/clementinebend_declarations/plain_values.py
+++ b/libs/declarations/src/clementinebend_declarations/plain_values.py
@@ -1,4 +1,4 @@
-"""Plain values: what YAML, the log's codec and the canonical encoding share."""
+"""Plain values, which YAML, the log's codec and canonical JSON all represent."""
 
 from collections.abc import Mapping
 from json import dumps
@@ -8,14 +8,14 @@
 from clementinebend_records.identifiers import digest_of
 
 MAX_DEPTH = 12
-"""Levels of nesting that a document may have."""
+"""Maximum nesting depth of a document."""
 
 MAX_INTEGER = 2**63 - 1
 MIN_INTEGER = -(2**63)
 
 
 def is_plain_value(value: Any, depth: int = MAX_DEPTH) -> bool:
-    """Return whether ``value`` has the same meaning in every codec in use."""
+    """Return whether all codecs in use represent ``value`` without a change."""
     if depth < 0:
         return False
     if isinstance(value, str):
@@ -35,14 +35,14 @@
 
 
 def is_plain_number(value: bool | int | float | None) -> bool:
-    """Return whether a number (or no value) fits 64 bits and is finite."""
+    """Return whether a number is finite and fits 64 bits; ``None`` counts as one."""
     if isinstance(value, float):
         return isfinite(value)
     return value is None or MIN_INTEGER <= value <= MAX_INTEGER
 
 
 def is_utf8_encodable(value: str) -> bool:
-    """Return whether ``value`` can be written as UTF-8."""
+    """Return whether ``value`` can be encoded as UTF-8, without lone surrogates."""
     try:
         value.encode()
     except UnicodeEncodeError:
@@ -51,10 +51,10 @@
 
 
 def canonical_json(value: Any) -> str:
-    """Return the one encoding of a plain value, with sorted keys."""
+    """Return the canonical JSON of a plain value: keys sorted, no spaces."""
     return dumps(value, sort_keys=True, separators=(",", ":"))
 
 
 def canonical_digest(value: Any) -> str:
-    """Return the digest of a plain value's canonical encoding."""
+    """Return the digest of the canonical JSON of a plain value."""
     return digest_of(canonical_json(value).encode())
