--- a/libs/declarations/src/clementinebend_declarations/publications.py
+++ b/libs/declarations/src/clementinebend_declarations/publications.py
@@ -33,7 +33,7 @@
     declarations: Declarations
 
 
-def judge_publication(
+def validate_publication(
     configuration: Configuration, document: Document, publication: Publication
 ) -> Result[Accepted, str]:
     """Return what comes into force, or why the publication is rejected.
@@ -55,7 +55,7 @@
     return _judge_document(configuration.declarations, document, changed)
 
 
-def judge_activation(
+def validate_activation(
     configuration: Configuration, activation: SchemaActivation
 ) -> Result[int, str]:
     """Return the schema to activate, or why the activation is rejected."""
--- a/libs/declarations/src/clementinebend_declarations/replay.py
+++ b/libs/declarations/src/clementinebend_declarations/replay.py
@@ -17,9 +17,9 @@
 )
 from clementinebend_declarations.publications import (
     Accepted,
-    judge_activation,
-    judge_publication,
     shown_paths,
+    validate_activation,
+    validate_publication,
 )
 from clementinebend_declarations.state import (
     Activated,
@@ -120,7 +120,7 @@
     configuration = state.configuration
     if record.base_revision != configuration.revision:
         return _conflict(record, state)
-    match judge_publication(configuration, state.document, record):
+    match validate_publication(configuration, state.document, record):
         case Result(tag="ok", ok=accepted):
             return _publish(record, state, accepted)
         case Result(error=reason):
@@ -133,7 +133,7 @@
     configuration = state.configuration
     if record.base_revision != configuration.revision:
         return _conflict(record, state)
-    match judge_activation(configuration, record):
+    match validate_activation(configuration, record):
         case Result(tag="ok", ok=version):
             return _activate(record, state, version)
         case Result(error=reason):
