--- a/libs/declarations/src/clementinebend_declarations/publications.py
+++ b/libs/declarations/src/clementinebend_declarations/publications.py
@@ -22,11 +22,11 @@
 from clementinebend_declarations.schemas import FIRST_SCHEMA, VERSION_KEY
 from clementinebend_records.records import Change, Publication, SchemaActivation
 
-SHOWN_ERRORS = 5
+MAX_REPORTED_ERRORS = 5
 """Errors of a document that a rejection tells of."""
 
 
-class Accepted(NamedTuple):
+class AcceptedPublication(NamedTuple):
     """The document and declarations that a publication brings into force."""
 
     document: Document
@@ -35,7 +35,7 @@
 
 def validate_publication(
     configuration: Configuration, document: Document, publication: Publication
-) -> Result[Accepted, str]:
+) -> Result[AcceptedPublication, str]:
     """Return what comes into force, or why the publication is rejected.
 
     The caller has compared the base revision already.
@@ -49,10 +49,10 @@
     if not all(map(is_plain_change, publication.changes)):
         return Error("a change holds a value that not every node reads alike")
     changed = apply_changes(document, publication.changes)
-    fault = _document_fault(changed, publication)
-    if fault:
-        return Error(fault)
-    return _judge_document(configuration.declarations, document, changed)
+    error_text = _find_document_error(changed, publication)
+    if error_text:
+        return Error(error_text)
+    return _validate_document(configuration.declarations, document, changed)
 
 
 def validate_activation(
@@ -60,10 +60,10 @@
 ) -> Result[int, str]:
     """Return the schema to activate, or why the activation is rejected."""
     version = activation.schema_version
-    following = configuration.activated_schema + 1
-    if version == following:
+    next_version = configuration.activated_schema + 1
+    if version == next_version:
         return Ok(version)
-    return Error(f"schema {version} cannot be activated; {following} is the next")
+    return Error(f"schema {version} cannot be activated; {next_version} is the next")
 
 
 def is_plain_change(change: Change) -> bool:
@@ -74,40 +74,47 @@
     )
 
 
-def shown_paths(changes: tuple[Change, ...], count: int) -> tuple[str, ...]:
+def first_paths(changes: tuple[Change, ...], count: int) -> tuple[str, ...]:
     """Return the key paths of the first ``count`` changes."""
     return tuple(".".join(change.path) for change in changes[:count])
 
 
-def _document_fault(document: Document, publication: Publication) -> str:
+def _find_document_error(document: Document, publication: Publication) -> str:
     if document_digest(document) != publication.digest:
         return "the changed document does not give the digest of the publication"
-    written = document.get(VERSION_KEY, FIRST_SCHEMA)
-    if type(written) is not int or written != publication.schema_version:
-        return f"the changed document is of schema {written!r}"
+    document_version = document.get(VERSION_KEY, FIRST_SCHEMA)
+    if (
+        type(document_version) is not int
+        or document_version != publication.schema_version
+    ):
+        return f"the changed document is of schema {document_version!r}"
     return ""
 
 
-def _judge_document(
+def _validate_document(
     in_force: Declarations, document: Document, changed: Document
-) -> Result[Accepted, str]:
+) -> Result[AcceptedPublication, str]:
     match check_changed_document(changed, document, in_force):
         case Result(tag="ok", ok=declarations):
-            fault = _top_up_fault(in_force, declarations)
-            return Error(fault) if fault else Ok(Accepted(changed, declarations))
+            error_text = _find_top_up_error(in_force, declarations)
+            return (
+                Error(error_text)
+                if error_text
+                else Ok(AcceptedPublication(changed, declarations))
+            )
         case Result(error=errors):
-            shown = "; ".join(str(error) for error in errors[:SHOWN_ERRORS])
-            return Error(f"{len(errors)} errors: {shown}")
+            reported = "; ".join(str(error) for error in errors[:MAX_REPORTED_ERRORS])
+            return Error(f"{len(errors)} errors: {reported}")
     raise AssertionError("a result is ok or an error")
 
 
-def _top_up_fault(old: Declarations, new: Declarations) -> str:
+def _find_top_up_error(old: Declarations, new: Declarations) -> str:
     """Return why the top-ups in force do not stay as they are, or nothing."""
-    kept = _top_ups(new)
+    new_top_ups = _top_ups(new)
     changed = (
         (budget, identifier)
         for (budget, identifier), tokens in _top_ups(old).items()
-        if kept.get((budget, identifier)) != tokens
+        if new_top_ups.get((budget, identifier)) != tokens
     )
     budget, identifier = next(changed, ("", ""))
     if not identifier:
--- a/libs/declarations/src/clementinebend_declarations/replay.py
+++ b/libs/declarations/src/clementinebend_declarations/replay.py
@@ -16,8 +16,8 @@
     restore_configuration,
 )
 from clementinebend_declarations.publications import (
-    Accepted,
-    shown_paths,
+    AcceptedPublication,
+    first_paths,
     validate_activation,
     validate_publication,
 )
@@ -150,7 +150,7 @@
 
 
 def _publish(
-    record: Publication, state: ConfigurationState, accepted: Accepted
+    record: Publication, state: ConfigurationState, accepted: AcceptedPublication
 ) -> Step:
     configuration = state.configuration._replace(
         revision=record.base_revision + 1,
@@ -219,7 +219,7 @@
 def _audited_paths(record: Publication | SchemaActivation) -> tuple[str, ...]:
     if isinstance(record, SchemaActivation):
         return ()
-    paths = shown_paths(record.changes, SHOWN_PATHS)
+    paths = first_paths(record.changes, SHOWN_PATHS)
     return tuple(path[:MAX_TEXT] for path in paths)
 
 
