--- a/libs/declarations/src/clementinebend_declarations/publications.py
+++ b/libs/declarations/src/clementinebend_declarations/publications.py
@@ -1,6 +1,7 @@
-"""Whether a publication or a schema activation may come into force.
+"""Validation of publications and schema activations.
 
-Every node must judge alike, so this depends on the state and the record only.
+The result must be the same on all nodes, so it depends on the state and the
+record only.
 """
 
 from typing import NamedTuple
@@ -23,11 +24,11 @@
 from clementinebend_records.records import Change, Publication, SchemaActivation
 
 MAX_REPORTED_ERRORS = 5
-"""Errors of a document that a rejection tells of."""
+"""Maximum number of document errors in the reason of a rejection."""
 
 
 class AcceptedPublication(NamedTuple):
-    """The document and declarations that a publication brings into force."""
+    """The document and declarations that result from a valid publication."""
 
     document: Document
     declarations: Declarations
@@ -36,9 +37,9 @@
 def validate_publication(
     configuration: Configuration, document: Document, publication: Publication
 ) -> Result[AcceptedPublication, str]:
-    """Return what comes into force, or why the publication is rejected.
+    """Return the resulting document, or why the publication is rejected.
 
-    The caller has compared the base revision already.
+    The caller must have compared the base revision.
     """
     version = publication.schema_version
     if not FIRST_SCHEMA <= version <= configuration.activated_schema:
@@ -67,7 +68,7 @@
 
 
 def is_plain_change(change: Change) -> bool:
-    """Return whether a plain document stays plain with the change made."""
+    """Return whether a plain document remains plain after the change."""
     levels = MAX_DEPTH - len(change.path)
     return all(map(is_utf8_encodable, change.path)) and is_plain_value(
         change.value, levels
@@ -109,7 +110,7 @@
 
 
 def _find_top_up_error(old: Declarations, new: Declarations) -> str:
-    """Return why the top-ups in force do not stay as they are, or nothing."""
+    """Return an error if a top-up in force is changed or removed, or no text."""
     new_top_ups = _top_ups(new)
     changed = (
         (budget, identifier)
