--- a/libs/declarations/src/clementinebend_declarations/replay.py
+++ b/libs/declarations/src/clementinebend_declarations/replay.py
@@ -61,15 +61,15 @@
 
 MAX_AUDIT_ENTRIES = 100
 MAX_DIGESTS = 64
-MAX_TEXT = 200
-SHOWN_PATHS = 10
+MAX_TEXT_LENGTH = 200
+MAX_AUDITED_PATHS = 10
 
-Step = tuple[ConfigurationState, tuple[ConfigurationOutcome, ...]]
+ReplayResult = tuple[ConfigurationState, tuple[ConfigurationOutcome, ...]]
 
 
 def replay_configuration(
     state: ConfigurationState, offset: int, batch: Batch, readable: int = SCHEMA_VERSION
-) -> Step:
+) -> ReplayResult:
     """Apply the batch at ``offset`` and return what became of its records.
 
     A node that reads schemas up to ``readable`` stands still at the first
@@ -82,16 +82,16 @@
         return state, ()
     state = state._replace(offset=offset)
     if batch.sequence <= state.sequences.get(batch.writer, 0):
-        return _with_digest(state), ()
-    state = state._replace(sequences=_sequences(state.sequences, batch))
+        return _with_state_digest(state), ()
+    state = state._replace(sequences=_updated_sequences(state.sequences, batch))
     state, outcomes = _apply_batch(state, batch)
     activated = state.configuration.activated_schema
     if activated > readable:
         outcomes = (*outcomes, Unreadable(activated))
-    return _with_digest(state), outcomes
+    return _with_state_digest(state), outcomes
 
 
-def _apply_batch(state: ConfigurationState, batch: Batch) -> Step:
+def _apply_batch(state: ConfigurationState, batch: Batch) -> ReplayResult:
     """Apply records in order; after an activation none more of this batch.
 
     So a node that stands still at an activation has the same state there as
@@ -104,19 +104,19 @@
             reason = "an activation must be the last record of its batch"
             outcomes.append(Rejected(reason, state.offset, name_of(batch.writer)))
             break
-        state, more = _apply(record, state)
-        outcomes.extend(more)
+        state, record_outcomes = _apply(record, state)
+        outcomes.extend(record_outcomes)
     return state, tuple(outcomes)
 
 
 @singledispatch
-def _apply(record: Any, state: ConfigurationState) -> Step:
+def _apply(record: Any, state: ConfigurationState) -> ReplayResult:
     """Return the state after one record; other streams' records do nothing."""
     return state, ()
 
 
 @_apply.register
-def _(record: Publication, state: ConfigurationState) -> Step:
+def _(record: Publication, state: ConfigurationState) -> ReplayResult:
     configuration = state.configuration
     if record.base_revision != configuration.revision:
         return _conflict(record, state)
@@ -129,7 +129,7 @@
 
 
 @_apply.register
-def _(record: SchemaActivation, state: ConfigurationState) -> Step:
+def _(record: SchemaActivation, state: ConfigurationState) -> ReplayResult:
     configuration = state.configuration
     if record.base_revision != configuration.revision:
         return _conflict(record, state)
@@ -142,7 +142,7 @@
 
 
 @_apply.register
-def _(record: Checkpoint, state: ConfigurationState) -> Step:
+def _(record: Checkpoint, state: ConfigurationState) -> ReplayResult:
     expected = state.digests.get(record.offset, record.digest)
     if expected == record.digest:
         return state, ()
@@ -151,7 +151,7 @@
 
 def _publish(
     record: Publication, state: ConfigurationState, accepted: AcceptedPublication
-) -> Step:
+) -> ReplayResult:
     configuration = state.configuration._replace(
         revision=record.base_revision + 1,
         schema_version=record.schema_version,
@@ -159,39 +159,39 @@
         declarations=accepted.declarations,
     )
     state = state._replace(configuration=configuration, document=accepted.document)
-    state = _audited(record, state, AuditResult.PUBLISHED)
+    state = _with_audit_entry(record, state, AuditResult.PUBLISHED)
     outcome = Published(configuration.revision, state.offset, record.author)
     return state, (outcome,)
 
 
 def _activate(
     record: SchemaActivation, state: ConfigurationState, version: int
-) -> Step:
+) -> ReplayResult:
     configuration = state.configuration._replace(
         revision=record.base_revision + 1, activated_schema=version
     )
     state = state._replace(configuration=configuration)
-    state = _audited(record, state, AuditResult.ACTIVATED)
+    state = _with_audit_entry(record, state, AuditResult.ACTIVATED)
     revision = configuration.revision
     return state, (Activated(version, revision, state.offset, record.author),)
 
 
 def _conflict(
     record: Publication | SchemaActivation, state: ConfigurationState
-) -> Step:
+) -> ReplayResult:
     revision = state.configuration.revision
     outcome = Conflict(record.base_revision, revision, state.offset, record.author)
-    return _audited(record, state, AuditResult.CONFLICT), (outcome,)
+    return _with_audit_entry(record, state, AuditResult.CONFLICT), (outcome,)
 
 
 def _reject(
     record: Publication | SchemaActivation, state: ConfigurationState, reason: str
-) -> Step:
+) -> ReplayResult:
     outcome = Rejected(reason, state.offset, record.author)
-    return _audited(record, state, AuditResult.REJECTED, reason), (outcome,)
+    return _with_audit_entry(record, state, AuditResult.REJECTED, reason), (outcome,)
 
 
-def _audited(
+def _with_audit_entry(
     record: Publication | SchemaActivation,
     state: ConfigurationState,
     result: AuditResult,
@@ -199,14 +199,14 @@
 ) -> ConfigurationState:
     entry = AuditEntry(
         offset=state.offset,
-        author=record.author[:MAX_TEXT],
-        published_at=record.published_at[:MAX_TEXT],
-        source=_source(record)[:MAX_TEXT],
+        author=record.author[:MAX_TEXT_LENGTH],
+        published_at=record.published_at[:MAX_TEXT_LENGTH],
+        source=_source(record)[:MAX_TEXT_LENGTH],
         base_revision=record.base_revision,
         revision=state.configuration.revision,
         schema_version=record.schema_version,
         result=result,
-        reason=reason[:MAX_TEXT],
+        reason=reason[:MAX_TEXT_LENGTH],
         paths=_audited_paths(record),
     )
     return state._replace(audit=(*state.audit, entry)[-MAX_AUDIT_ENTRIES:])
@@ -219,18 +219,18 @@
 def _audited_paths(record: Publication | SchemaActivation) -> tuple[str, ...]:
     if isinstance(record, SchemaActivation):
         return ()
-    paths = first_paths(record.changes, SHOWN_PATHS)
-    return tuple(path[:MAX_TEXT] for path in paths)
+    paths = first_paths(record.changes, MAX_AUDITED_PATHS)
+    return tuple(path[:MAX_TEXT_LENGTH] for path in paths)
 
 
-def _sequences(sequences: dict[str, int], batch: Batch) -> dict[str, int]:
-    kept = {name: last for name, last in sequences.items() if name != batch.writer}
-    kept[batch.writer] = batch.sequence
-    surplus = max(0, len(kept) - MAX_WRITERS)
-    return dict(islice(kept.items(), surplus, None))
+def _updated_sequences(sequences: dict[str, int], batch: Batch) -> dict[str, int]:
+    remaining = {name: last for name, last in sequences.items() if name != batch.writer}
+    remaining[batch.writer] = batch.sequence
+    surplus = max(0, len(remaining) - MAX_WRITERS)
+    return dict(islice(remaining.items(), surplus, None))
 
 
-def _with_digest(state: ConfigurationState) -> ConfigurationState:
+def _with_state_digest(state: ConfigurationState) -> ConfigurationState:
     digests = state.digests | {state.offset: configuration_digest(state)}
     surplus = max(0, len(digests) - MAX_DIGESTS)
     return state._replace(digests=dict(islice(digests.items(), surplus, None)))
