--- a/libs/declarations/src/clementinebend_declarations/replay.py
+++ b/libs/declarations/src/clementinebend_declarations/replay.py
@@ -68,15 +68,18 @@
 
 
 def replay_configuration(
-    state: ConfigurationState, offset: int, batch: Batch, readable: int = SCHEMA_VERSION
+    state: ConfigurationState,
+    offset: int,
+    batch: Batch,
+    max_readable_schema: int = SCHEMA_VERSION,
 ) -> ReplayResult:
     """Apply the batch at ``offset`` and return what became of its records.
 
-    A node that reads schemas up to ``readable`` stands still at the first
+    A node that reads schemas up to ``max_readable_schema`` stands still at the first
     activation above it, and is told so with every batch.
     """
     activated = state.configuration.activated_schema
-    if activated > readable:
+    if activated > max_readable_schema:
         return state, (Unreadable(activated),)
     if offset <= state.offset:
         return state, ()
@@ -86,7 +89,7 @@
     state = state._replace(sequences=_updated_sequences(state.sequences, batch))
     state, outcomes = _apply_batch(state, batch)
     activated = state.configuration.activated_schema
-    if activated > readable:
+    if activated > max_readable_schema:
         outcomes = (*outcomes, Unreadable(activated))
     return _with_state_digest(state), outcomes
 
--- a/tests/unit/declarations/test_replay.py
+++ b/tests/unit/declarations/test_replay.py
@@ -153,12 +153,12 @@
 def test_reader_of_the_first_schema_is_told_to_leave_and_stands_still() -> None:
     before = published()
     record = batch(3, activation(before, 2))
-    stopped, outcomes = replay_configuration(before, 9, record, readable=1)
+    stopped, outcomes = replay_configuration(before, 9, record, max_readable_schema=1)
     assert outcomes[-1] == Unreadable(2)
     going_on, _ = replay_configuration(before, 9, record)
     assert configuration_digest(stopped) == configuration_digest(going_on)
     later = batch(4, publication(stopped, document(2)))
-    after, outcomes = replay_configuration(stopped, 10, later, readable=1)
+    after, outcomes = replay_configuration(stopped, 10, later, max_readable_schema=1)
     assert after == stopped and outcomes == (Unreadable(2),)
 
 
@@ -168,7 +168,7 @@
     advanced, _ = replay_configuration(before, 9, batch(3, record))
     both = batch(3, record, publication(advanced, document(2)))
     new, outcomes = replay_configuration(before, 9, both)
-    old, _ = replay_configuration(before, 9, both, readable=1)
+    old, _ = replay_configuration(before, 9, both, max_readable_schema=1)
     assert isinstance(outcomes[1], Rejected)
     assert configuration_digest(new) == configuration_digest(old)
 
--- a/tests/unit/declarations/test_stateful_replay.py
+++ b/tests/unit/declarations/test_stateful_replay.py
@@ -223,10 +223,10 @@
             for _ in self.log:
                 self.read_one(reader)
         expected = oracle(self.log)
-        for state, readable in zip(self.states, READABLE, strict=True):
+        for state, max_readable_schema in zip(self.states, READABLE, strict=True):
             configuration = configuration_of(state)
-            if readable < expected.activated:
-                assert configuration.activated_schema > readable
+            if max_readable_schema < expected.activated:
+                assert configuration.activated_schema > max_readable_schema
                 continue
             assert configuration.revision == expected.revision
             assert configuration.activated_schema == expected.activated
