--- a/libs/declarations/src/clementinebend_declarations/replay.py
+++ b/libs/declarations/src/clementinebend_declarations/replay.py
@@ -31,7 +31,7 @@
     Diverged,
     Published,
     Rejected,
-    Unreadable,
+    UnsupportedSchema,
     configuration_of,
     empty_configuration,
 )
@@ -80,7 +80,7 @@
     """
     activated = state.configuration.activated_schema
     if activated > max_readable_schema:
-        return state, (Unreadable(activated),)
+        return state, (UnsupportedSchema(activated),)
     if offset <= state.offset:
         return state, ()
     state = state._replace(offset=offset)
@@ -90,7 +90,7 @@
     state, outcomes = _apply_batch(state, batch)
     activated = state.configuration.activated_schema
     if activated > max_readable_schema:
-        outcomes = (*outcomes, Unreadable(activated))
+        outcomes = (*outcomes, UnsupportedSchema(activated))
     return _with_state_digest(state), outcomes
 
 
--- a/libs/declarations/src/clementinebend_declarations/state.py
+++ b/libs/declarations/src/clementinebend_declarations/state.py
@@ -69,7 +69,7 @@
     author: str
 
 
-class Unreadable(NamedTuple):
+class UnsupportedSchema(NamedTuple):
     """Schema ``version`` is activated and this node cannot read it: it must leave."""
 
     version: int
@@ -84,7 +84,7 @@
 
 
 ConfigurationOutcome = (
-    Published | Conflict | Rejected | Activated | Unreadable | Diverged
+    Published | Conflict | Rejected | Activated | UnsupportedSchema | Diverged
 )
 
 
--- a/libs/entry/src/clementinebend_entry/configuration.py
+++ b/libs/entry/src/clementinebend_entry/configuration.py
@@ -27,7 +27,7 @@
     ConfigurationOutcome,
     ConfigurationState,
     Diverged,
-    Unreadable,
+    UnsupportedSchema,
 )
 from clementinebend_entry.exceptions import BrokenInvariant
 from clementinebend_entry.lookup import Directory, directory_of
@@ -113,7 +113,7 @@
 
     def check(self, outcome: ConfigurationOutcome) -> None:
         """Leave if an activated schema cannot be read; stop if states differ."""
-        if isinstance(outcome, Unreadable):
+        if isinstance(outcome, UnsupportedSchema):
             self.on_unreadable()
         if isinstance(outcome, Diverged):
             raise BrokenInvariant(f"configuration checkpoints differ: {outcome}")
--- a/tests/unit/declarations/test_replay.py
+++ b/tests/unit/declarations/test_replay.py
@@ -23,7 +23,7 @@
     Diverged,
     Published,
     Rejected,
-    Unreadable,
+    UnsupportedSchema,
     document_of,
 )
 from clementinebend_records.identifiers import Incarnation
@@ -154,12 +154,12 @@
     before = published()
     record = batch(3, activation(before, 2))
     stopped, outcomes = replay_configuration(before, 9, record, max_readable_schema=1)
-    assert outcomes[-1] == Unreadable(2)
+    assert outcomes[-1] == UnsupportedSchema(2)
     going_on, _ = replay_configuration(before, 9, record)
     assert configuration_digest(stopped) == configuration_digest(going_on)
     later = batch(4, publication(stopped, document(2)))
     after, outcomes = replay_configuration(stopped, 10, later, max_readable_schema=1)
-    assert after == stopped and outcomes == (Unreadable(2),)
+    assert after == stopped and outcomes == (UnsupportedSchema(2),)
 
 
 def test_activation_ends_its_batch_for_readers_of_every_schema() -> None:
--- a/tests/unit/declarations/test_stateful_replay.py
+++ b/tests/unit/declarations/test_stateful_replay.py
@@ -24,7 +24,7 @@
     Diverged,
     Published,
     Rejected,
-    Unreadable,
+    UnsupportedSchema,
     document_of,
 )
 from clementinebend_records.codec import decode_batch, encode_batch
@@ -172,7 +172,7 @@
         if isinstance(outcome, Published):
             checked = check_document(document_of(after))
             assert configuration_of(after).declarations == checked.ok
-        if isinstance(outcome, Unreadable):
+        if isinstance(outcome, UnsupportedSchema):
             assert outcome.version == configuration_of(after).activated_schema
         if isinstance(outcome, Conflict | Rejected):
             assert outcome.offset not in self.winners.values()
