--- a/libs/declarations/src/clementinebend_declarations/replay.py
+++ b/libs/declarations/src/clementinebend_declarations/replay.py
@@ -1,7 +1,7 @@
-"""Replay of the configuration stream: the same state on every node.
+"""Replay of the configuration stream, with the same state on every node.
 
-The revision rises by one with each publication or activation that is
-accepted, and never goes down.
+Each accepted publication or activation raises the revision by one; it never
+decreases.
 """
 
 from functools import singledispatch
@@ -54,9 +54,10 @@
 ]
 
 MAX_WRITERS = 1024
-"""Writers whose last sequence is kept; older ones are forgotten.
+"""Maximum number of writers whose last sequence is kept, the most recent ones.
 
-A repeat of a forgotten writer is a conflict, since its base is long past.
+A repeated batch of a dropped writer is still a conflict, since its base revision
+is no longer in force.
 """
 
 MAX_AUDIT_ENTRIES = 100
@@ -73,10 +74,10 @@
     batch: Batch,
     max_readable_schema: int = SCHEMA_VERSION,
 ) -> ReplayResult:
-    """Apply the batch at ``offset`` and return what became of its records.
+    """Apply the batch at ``offset`` and return the outcomes of its records.
 
-    A node that reads schemas up to ``max_readable_schema`` stands still at the first
-    activation above it, and is told so with every batch.
+    A node that reads schemas up to ``max_readable_schema`` stops at the first
+    activation above it and gets an ``UnsupportedSchema`` outcome for every batch.
     """
     activated = state.configuration.activated_schema
     if activated > max_readable_schema:
@@ -95,10 +96,10 @@
 
 
 def _apply_batch(state: ConfigurationState, batch: Batch) -> ReplayResult:
-    """Apply records in order; after an activation none more of this batch.
+    """Apply records in order and stop after an activation.
 
-    So a node that stands still at an activation has the same state there as
-    all the others.
+    A node that stops at an activation then has the same state at that offset as
+    all other nodes.
     """
     activated = state.configuration.activated_schema
     outcomes: list[ConfigurationOutcome] = []
@@ -114,7 +115,7 @@
 
 @singledispatch
 def _apply(record: Any, state: ConfigurationState) -> ReplayResult:
-    """Return the state after one record; other streams' records do nothing."""
+    """Return the state after one record; records of other streams have no effect."""
     return state, ()
 
 
