--- a/libs/declarations/src/clementinebend_declarations/schema_v1.py
+++ b/libs/declarations/src/clementinebend_declarations/schema_v1.py
@@ -1,7 +1,7 @@
-"""The first schema of the document, and its upgrade to the second.
+"""Schema version 1 of the document, and its upgrade to version 2.
 
-In it an endpoint says ``leaving: true`` where the second says
-``state: leaving``; it knows no ``receipt_safety`` and no ``hedge_after_ms``.
+An endpoint has ``leaving: true`` in version 1 and ``state: leaving`` in
+version 2. Version 1 has neither ``receipt_safety`` nor ``hedge_after_ms``.
 """
 
 from typing import Any, NamedTuple
@@ -16,14 +16,14 @@
 
 
 class TeamV1(NamedTuple):
-    """A team as the first schema writes it."""
+    """A team in schema version 1."""
 
     key_digests: tuple[str, ...]
     weight: float = 1.0
 
 
 class ServiceV1(NamedTuple):
-    """A service as the first schema writes it."""
+    """A service in schema version 1."""
 
     kind: ServiceKind
     models: tuple[str, ...] = ()
@@ -34,7 +34,7 @@
 
 
 class EndpointV1(NamedTuple):
-    """An endpoint as the first schema writes it."""
+    """An endpoint in schema version 1."""
 
     service: str
     zone: str
@@ -45,7 +45,7 @@
 
 
 class DeclarationsV1(NamedTuple):
-    """The whole document in the first schema."""
+    """The whole document in schema version 1."""
 
     teams: dict[str, TeamV1] = {}
     budgets: dict[str, Budget] = {}
@@ -56,15 +56,17 @@
 
 
 def upgrade_v1(document: dict[str, Any]) -> dict[str, Any]:
-    """Return a well-formed document of the first schema in the second."""
+    """Return a valid document of schema version 1, upgraded to version 2."""
     endpoints = document.get("endpoints", {})
-    upgraded = {name: _endpoint_v2(fields) for name, fields in endpoints.items()}
-    return document | {"endpoints": upgraded}
+    upgraded_endpoints = {
+        name: _upgrade_endpoint(fields) for name, fields in endpoints.items()
+    }
+    return document | {"endpoints": upgraded_endpoints}
 
 
-def _endpoint_v2(fields: dict[str, Any]) -> dict[str, Any]:
-    kept = {key: value for key, value in fields.items() if key != "leaving"}
+def _upgrade_endpoint(fields: dict[str, Any]) -> dict[str, Any]:
+    other_fields = {key: value for key, value in fields.items() if key != "leaving"}
     if "leaving" not in fields:
-        return kept
+        return other_fields
     state = EndpointState.LEAVING if fields["leaving"] else EndpointState.SERVING
-    return kept | {"state": state.value}
+    return other_fields | {"state": state.value}
