--- a/libs/declarations/src/clementinebend_declarations/documents.py
+++ b/libs/declarations/src/clementinebend_declarations/documents.py
@@ -20,7 +20,11 @@
 )
 from clementinebend_declarations.models import Declarations
 from clementinebend_declarations.plain_values import MAX_DEPTH, is_plain_value
-from clementinebend_declarations.schemas import Errors, read_changed, read_declarations
+from clementinebend_declarations.schemas import (
+    Errors,
+    read_changed_declarations,
+    read_declarations,
+)
 from clementinebend_declarations.yaml_files import read_yaml
 
 __all__ = [
@@ -87,7 +91,9 @@
     Returns the same as ``check_document`` in less time. ``declarations`` are
     those of ``known``, which has passed the checks before.
     """
-    return _validated(read_changed(dict(document), dict(known), declarations))
+    return _validated(
+        read_changed_declarations(dict(document), dict(known), declarations)
+    )
 
 
 def _validated(read: Result[Declarations, Errors]) -> Result[Declarations, Errors]:
--- a/libs/declarations/src/clementinebend_declarations/schemas.py
+++ b/libs/declarations/src/clementinebend_declarations/schemas.py
@@ -42,7 +42,7 @@
     raise AssertionError("a result is ok or an error")
 
 
-def read_changed(
+def read_changed_declarations(
     document: dict[str, Any], known: dict[str, Any], declarations: Declarations
 ) -> Result[Declarations, Errors]:
     """Return the declarations in a document that was made by editing ``known``.
@@ -54,24 +54,28 @@
     if document.get(VERSION_KEY) != known.get(VERSION_KEY):
         return read_declarations(document)
     edited = {
-        section: _edited_parts(section, value, known)
+        section: _select_edited_parts(section, value, known)
         for section, value in document.items()
     }
     return read_declarations(edited).map(
         lambda read: read._replace(
-            teams=_merged("teams", document, read.teams, declarations.teams),
-            budgets=_merged("budgets", document, read.budgets, declarations.budgets),
-            services=_merged(
+            teams=_merge_unchanged_parts(
+                "teams", document, read.teams, declarations.teams
+            ),
+            budgets=_merge_unchanged_parts(
+                "budgets", document, read.budgets, declarations.budgets
+            ),
+            services=_merge_unchanged_parts(
                 "services", document, read.services, declarations.services
             ),
-            endpoints=_merged(
+            endpoints=_merge_unchanged_parts(
                 "endpoints", document, read.endpoints, declarations.endpoints
             ),
         )
     )
 
 
-def _edited_parts(section: str, value: Any, known: dict[str, Any]) -> Any:
+def _select_edited_parts(section: str, value: Any, known: dict[str, Any]) -> Any:
     before = known.get(section)
     is_named = section in NAMED_SECTIONS and isinstance(value, dict)
     if not is_named or not isinstance(before, dict):
@@ -83,7 +87,7 @@
     }
 
 
-def _merged(
+def _merge_unchanged_parts(
     section: str, document: dict[str, Any], read: dict[str, T], known: dict[str, T]
 ) -> dict[str, T]:
     names = sorted(document.get(section, {}))
@@ -92,16 +96,16 @@
 
 def _read_version(body: dict[str, Any], version: int) -> Result[Declarations, Errors]:
     if version > FIRST_SCHEMA:
-        return _convert(body, Declarations).map(_with_sorted_names)
+        return _convert(body, Declarations).map(_sort_by_name)
     match _convert(body, DeclarationsV1):
         case Result(tag="error", error=errors):
             return Error(errors)
         case _:
             upgraded = _convert(upgrade_v1(body), Declarations)
-            return upgraded.map(_with_sorted_names)
+            return upgraded.map(_sort_by_name)
 
 
-def _with_sorted_names(declarations: Declarations) -> Declarations:
+def _sort_by_name(declarations: Declarations) -> Declarations:
     """Return declarations in an order that all nodes share.
 
     A document's own order is that of its edits, which a node that began with
