--- a/libs/declarations/src/clementinebend_declarations/schemas.py
+++ b/libs/declarations/src/clementinebend_declarations/schemas.py
@@ -1,4 +1,4 @@
-"""Reading a document of any schema version as the newest declarations."""
+"""Reading of documents of all schema versions as declarations of the newest."""
 
 from typing import Any, TypeVar, cast
 
@@ -12,17 +12,17 @@
 
 VERSION_KEY = "schema_version"
 FIRST_SCHEMA = 1
-"""Schema of a document that does not name one."""
+"""The default schema version of a document."""
 
 T = TypeVar("T")
 NAMED_SECTIONS = ("teams", "budgets", "services", "endpoints")
-"""Sections that map names to parts."""
+"""Sections whose parts are keyed by name."""
 
 Errors = tuple[DeclarationError, ...]
 
 
 def schema_version_of(document: dict[str, Any]) -> Result[int, DeclarationError]:
-    """Return the schema that a document is written in."""
+    """Return the schema version of a document."""
     version = document.get(VERSION_KEY, FIRST_SCHEMA)
     is_known = type(version) is int and FIRST_SCHEMA <= version <= SCHEMA_VERSION
     if is_known:
@@ -32,7 +32,7 @@
 
 
 def read_declarations(document: dict[str, Any]) -> Result[Declarations, Errors]:
-    """Return the declarations in a document, or all errors of its shape."""
+    """Return the declarations in a document, or all schema errors in it."""
     match schema_version_of(document):
         case Result(tag="error", error=error):
             return Error((error,))
@@ -47,9 +47,9 @@
 ) -> Result[Declarations, Errors]:
     """Return the declarations in a document that was made by editing ``known``.
 
-    ``declarations`` are those in ``known``. The result is that of
-    ``read_declarations``; parts that are the same objects in both documents
-    are not read again, since a large fleet changes a little at a time.
+    ``declarations`` are those of ``known``. The result is the same as that of
+    ``read_declarations``. Parts that are the same objects in both documents are
+    not read again, since one edit changes only a small part of a large fleet.
     """
     if document.get(VERSION_KEY) != known.get(VERSION_KEY):
         return read_declarations(document)
@@ -106,10 +106,10 @@
 
 
 def _sort_by_name(declarations: Declarations) -> Declarations:
-    """Return declarations in an order that all nodes share.
+    """Return declarations sorted by name, so that all nodes have the same order.
 
-    A document's own order is that of its edits, which a node that began with
-    a checkpoint does not know.
+    The order of a document depends on its edits, which are unknown to a node that
+    started from a checkpoint.
     """
     return declarations._replace(
         teams=dict(sorted(declarations.teams.items())),
