--- a/libs/bench/src/clementinebend_bench/slopes/pure.py
+++ b/libs/bench/src/clementinebend_bench/slopes/pure.py
@@ -26,7 +26,7 @@
 from clementinebend_declarations.checkpoints import encode_configuration_state
 from clementinebend_declarations.replay import (
     configuration_of,
-    empty_configuration,
+    empty_configuration_state,
     replay_configuration,
 )
 from clementinebend_declarations.state import ConfigurationState
@@ -268,4 +268,4 @@
 def _declared(document: dict[str, Any]) -> ConfigurationState:
     record = publication(0, {}, document)
     batch = Batch(OPERATOR, 1, (record,))
-    return replay_configuration(empty_configuration(), 0, batch)[0]
+    return replay_configuration(empty_configuration_state(), 0, batch)[0]
--- a/libs/declarations/src/clementinebend_declarations/replay.py
+++ b/libs/declarations/src/clementinebend_declarations/replay.py
@@ -33,7 +33,7 @@
     Rejected,
     UnsupportedSchema,
     configuration_of,
-    empty_configuration,
+    empty_configuration_state,
 )
 from clementinebend_records.codec import SCHEMA_VERSION
 from clementinebend_records.identifiers import name_of
@@ -48,7 +48,7 @@
     "configuration_checkpoint",
     "configuration_digest",
     "configuration_of",
-    "empty_configuration",
+    "empty_configuration_state",
     "replay_configuration",
     "restore_configuration",
 ]
--- a/libs/declarations/src/clementinebend_declarations/state.py
+++ b/libs/declarations/src/clementinebend_declarations/state.py
@@ -104,7 +104,7 @@
     digests: dict[int, str]
 
 
-def empty_configuration() -> ConfigurationState:
+def empty_configuration_state() -> ConfigurationState:
     """Return the state before the stream's first record."""
     configuration = Configuration(digest=document_digest({}))
     return ConfigurationState(configuration, {}, -1, {}, (), {})
--- a/libs/entry/src/clementinebend_entry/configuration.py
+++ b/libs/entry/src/clementinebend_entry/configuration.py
@@ -19,7 +19,7 @@
 from clementinebend_declarations.replay import (
     configuration_checkpoint,
     configuration_of,
-    empty_configuration,
+    empty_configuration_state,
     replay_configuration,
     restore_configuration,
 )
@@ -61,7 +61,7 @@
         self.readable = readable
         self.on_change = on_change
         self.on_unreadable = on_unreadable
-        self.state: ConfigurationState = empty_configuration()
+        self.state: ConfigurationState = empty_configuration_state()
         self.directory = directory_of(self.configuration)
         self.writer = StreamWriter(
             log.client, CONFIGURATION_STREAM, log.writer, log.post
--- a/libs/operator_cli/src/clementinebend_operator_cli/utils/replicas.py
+++ b/libs/operator_cli/src/clementinebend_operator_cli/utils/replicas.py
@@ -5,7 +5,7 @@
 from typing import Any, Generic, NamedTuple, TypeVar
 
 from clementinebend_declarations.replay import (
-    empty_configuration,
+    empty_configuration_state,
     replay_configuration,
     restore_configuration,
 )
@@ -68,7 +68,7 @@
     """Return a replica of the configuration, before its first record."""
     return Replica(
         CONFIGURATION_STREAM,
-        empty_configuration(),
+        empty_configuration_state(),
         replay_configuration,
         restore_configuration,
     )
--- a/libs/sidecar/src/clementinebend_sidecar/configuration.py
+++ b/libs/sidecar/src/clementinebend_sidecar/configuration.py
@@ -6,7 +6,7 @@
 from clementinebend_declarations.models import Configuration, EndpointState
 from clementinebend_declarations.replay import (
     configuration_of,
-    empty_configuration,
+    empty_configuration_state,
     replay_configuration,
     restore_configuration,
 )
@@ -29,7 +29,7 @@
     def __init__(self, client: LogClient, endpoint: str, readable: int) -> None:
         self.endpoint = endpoint
         self.readable = readable
-        self.state = empty_configuration()
+        self.state = empty_configuration_state()
         self.was_declared = False
         self.newer_schema = 0
         self.loop = get_running_loop()
--- a/tests/unit/declarations/test_replay.py
+++ b/tests/unit/declarations/test_replay.py
@@ -11,7 +11,7 @@
     configuration_checkpoint,
     configuration_digest,
     configuration_of,
-    empty_configuration,
+    empty_configuration_state,
     replay_configuration,
     restore_configuration,
 )
@@ -41,7 +41,7 @@
 
 def published(version: int = 1) -> ConfigurationState:
     """Return the state in which the sample document is in force."""
-    state = empty_configuration()
+    state = empty_configuration_state()
     if version > 1:
         record = activation(state, version)
         state, _ = replay_configuration(state, 0, batch(1, record))
@@ -53,7 +53,7 @@
 
 
 def test_first_publication_on_a_base_wins_and_the_rest_conflict() -> None:
-    state = empty_configuration()
+    state = empty_configuration_state()
     first = publication(state, document())
     second = publication(state, document() | {"limits": {}}, author="milan")
     state, outcomes = replay_configuration(state, 4, batch(1, first))
@@ -223,7 +223,7 @@
 
 
 def test_state_stays_bounded() -> None:
-    state = empty_configuration()
+    state = empty_configuration_state()
     for number in range(MAX_WRITERS + MAX_AUDIT_ENTRIES):
         writer = Incarnation(f"operator#{number}")
         stale = activation(state, 2)._replace(base_revision=7, author="x" * 9_999)
--- a/tests/unit/declarations/test_stateful_replay.py
+++ b/tests/unit/declarations/test_stateful_replay.py
@@ -13,7 +13,7 @@
     configuration_checkpoint,
     configuration_digest,
     configuration_of,
-    empty_configuration,
+    empty_configuration_state,
     replay_configuration,
     restore_configuration,
 )
@@ -57,7 +57,7 @@
         super().__init__()
         self.log: list[Entry] = []
         self.states: list[ConfigurationState] = [
-            empty_configuration() for _ in READABLE
+            empty_configuration_state() for _ in READABLE
         ]
         self.lives = [0] * OPERATORS
         self.sequences = [0] * OPERATORS
--- a/tests/unit/operator_cli/desk.py
+++ b/tests/unit/operator_cli/desk.py
@@ -7,7 +7,10 @@
 
 from clementinebend_declarations.documents import check_document
 from clementinebend_declarations.replay import replay_configuration
-from clementinebend_declarations.state import ConfigurationState, empty_configuration
+from clementinebend_declarations.state import (
+    ConfigurationState,
+    empty_configuration_state,
+)
 from clementinebend_ledger.replay import LedgerState, empty_ledger, replay
 from clementinebend_operator_cli.models.operator import Operator
 from clementinebend_operator_cli.models.settings import OperatorSettings
@@ -53,7 +56,7 @@
 
 def configuration(log: FakeLog) -> ConfigurationState:
     """Return the replay of the whole configuration stream."""
-    state = empty_configuration()
+    state = empty_configuration_state()
     for offset, batch in log.batches(CONFIGURATION_STREAM):
         state, _ = replay_configuration(state, offset, batch)
     return state
