--- a/libs/declarations/src/clementinebend_declarations/state.py
+++ b/libs/declarations/src/clementinebend_declarations/state.py
@@ -1,4 +1,4 @@
-"""State of the configuration stream's replay, and the outcomes it gives."""
+"""State and outcomes of the replay of the configuration stream."""
 
 from enum import StrEnum
 from typing import Any, NamedTuple
@@ -8,7 +8,7 @@
 
 
 class AuditResult(StrEnum):
-    """What became of a publication or activation."""
+    """Result of a publication or activation."""
 
     PUBLISHED = "published"
     ACTIVATED = "activated"
@@ -19,8 +19,8 @@
 class AuditEntry(NamedTuple):
     """Who tried to change the configuration, when, and with what result.
 
-    ``revision`` is the one in force afterwards; ``paths`` are the first of
-    the key paths that were changed.
+    ``revision`` is in force afterwards; ``paths`` are the first of the changed
+    key paths.
     """
 
     offset: int
@@ -44,7 +44,7 @@
 
 
 class Conflict(NamedTuple):
-    """A record was made from ``base_revision``, and ``revision`` is in force."""
+    """A record is based on ``base_revision``, but ``revision`` is in force."""
 
     base_revision: int
     revision: int
@@ -53,7 +53,7 @@
 
 
 class Rejected(NamedTuple):
-    """A record breaks a rule; every node rejects it alike."""
+    """A record violates a rule; all nodes reject it with the same reason."""
 
     reason: str
     offset: int
@@ -61,7 +61,7 @@
 
 
 class Activated(NamedTuple):
-    """Publications up to schema ``version`` are allowed from now on."""
+    """Publications up to schema ``version`` are allowed after this offset."""
 
     version: int
     revision: int
@@ -70,13 +70,13 @@
 
 
 class UnsupportedSchema(NamedTuple):
-    """Schema ``version`` is activated and this node cannot read it: it must leave."""
+    """Schema ``version`` is activated, but this node cannot read it and must leave."""
 
     version: int
 
 
 class Diverged(NamedTuple):
-    """A checkpoint differs from this node's replay: one of them is wrong."""
+    """The digest of a checkpoint differs from that of this node's replay."""
 
     offset: int
     expected: str
@@ -89,11 +89,11 @@
 
 
 class ConfigurationState(NamedTuple):
-    """What replay has made of the stream up to ``offset``.
+    """Result of the replay of the stream up to ``offset``.
 
-    ``sequences`` has the last batch of each recent writer, the latest writer
-    at its end. ``digests`` has this state's digest at recent offsets; it is
-    this node's own and no part of a checkpoint.
+    ``sequences`` maps each recent writer to the sequence of its last batch, with
+    the most recent writer at the end. ``digests`` maps recent offsets to the digest
+    of the state there; it is local to this node and not part of a checkpoint.
     """
 
     configuration: Configuration
