--- a/libs/declarations/src/clementinebend_declarations/yaml_files.py
+++ b/libs/declarations/src/clementinebend_declarations/yaml_files.py
@@ -1,4 +1,4 @@
-"""Reading one YAML file: text keys, no key twice, no dates, no surprises."""
+"""Reading of one YAML file: unique string keys, dates as strings, no aliases."""
 
 from pathlib import Path
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class _StrictLoader(SafeLoader):
-    """Reads dates as text, and refuses aliases and a key that stands twice."""
+    """Loads dates as strings and rejects anchors, aliases and duplicate keys."""
 
     yaml_implicit_resolvers = {
         first: [(tag, pattern) for tag, pattern in resolvers if tag != TIMESTAMP_TAG]
@@ -22,7 +22,7 @@
     }
 
     def compose_node(self, parent: Any, index: Any) -> Any:
-        """Compose a node; an alias could stand for more than memory holds."""
+        """Compose a node without an anchor: nested aliases can exhaust the memory."""
         event = self.peek_event()  # type: ignore[no-untyped-call]
         if getattr(event, "anchor", None) is not None:
             message = "anchors and aliases are not allowed"
@@ -30,17 +30,17 @@
         return super().compose_node(parent, index)
 
     def construct_mapping(self, node: MappingNode, deep: bool = False) -> Any:
-        """Construct a mapping whose keys are all texts and all different."""
+        """Construct a mapping whose keys are strings and unique."""
         seen: set[str] = set()
         for key_node, _ in node.value:
             key = self.construct_object(key_node, deep=True)
-            _require_new_text(key, seen, key_node.start_mark)
+            _check_key(key, seen, key_node.start_mark)
             seen.add(key)
         return super().construct_mapping(node, deep=deep)
 
 
 def read_yaml(file: Path) -> Result[dict[str, Any], DeclarationError]:
-    """Return the mapping in one file, or the error that says what to mend."""
+    """Return the mapping in one file, or the error in it."""
     try:
         data = file.read_bytes()
     except OSError as error:
@@ -65,15 +65,17 @@
         return Ok({})
     if isinstance(value, dict):
         return Ok(value)
-    return Error(_file_error(file, "holds no mapping", "sections such as 'teams:'"))
+    return Error(
+        _file_error(file, "does not contain a mapping", "sections such as 'teams:'")
+    )
 
 
-def _require_new_text(key: Any, seen: set[str], mark: Any) -> None:
+def _check_key(key: Any, seen: set[str], mark: Any) -> None:
     if not isinstance(key, str):
-        message = f"the key {key!r} is not a text: put it in quotes"
+        message = f"the key {key!r} is not a string: put it in quotes"
         raise ConstructorError(None, None, message, mark)
     if key in seen:
-        raise ConstructorError(None, None, f"the key {key!r} stands twice", mark)
+        raise ConstructorError(None, None, f"duplicate key {key!r}", mark)
 
 
 def _file_error(file: Path, problem: str, allowed: str) -> DeclarationError:
