--- a/libs/platform_client/src/clementinebend_platform_client/batch_reading.py
+++ b/libs/platform_client/src/clementinebend_platform_client/batch_reading.py
@@ -8,7 +8,7 @@
 
 from msgpack import unpackb
 
-from clementinebend_records.codec import SCHEMA_VERSION, Unreadable, decode_batch
+from clementinebend_records.codec import SCHEMA_VERSION, DecodeFailure, decode_batch
 from clementinebend_records.records import Batch
 
 BATCH_FIELDS = 4
@@ -20,7 +20,7 @@
     schema_version: int
 
 
-def read_batch(data: bytes) -> Batch | Newer | Unreadable:
+def read_batch(data: bytes) -> Batch | Newer | DecodeFailure:
     """Return the batch in the bytes of one append, or why there is none."""
     batch = decode_batch(data)
     if isinstance(batch, Batch):
--- a/libs/platform_client/src/clementinebend_platform_client/tail_core.py
+++ b/libs/platform_client/src/clementinebend_platform_client/tail_core.py
@@ -36,7 +36,7 @@
     TakeCheckpoint,
     TrimmedSeen,
 )
-from clementinebend_records.codec import Unreadable
+from clementinebend_records.codec import DecodeFailure
 from clementinebend_records.records import Batch, Checkpoint
 
 
@@ -181,7 +181,7 @@
             outcome = NewerSchema(state.stream, offset, version)
             halted = state._replace(phase=Phase.HALTED, position=offset)
             return halted, (Report(outcome),)
-        case Unreadable(reason=reason):
+        case DecodeFailure(reason=reason):
             return state._replace(position=offset + 1), (Skip(offset, reason),)
 
 
--- a/libs/records/src/clementinebend_records/codec.py
+++ b/libs/records/src/clementinebend_records/codec.py
@@ -22,7 +22,7 @@
 _MESSAGE_TAGS = {kind: tag for tag, kind in enumerate(MESSAGE_TYPES)}
 
 
-class Unreadable(NamedTuple):
+class DecodeFailure(NamedTuple):
     """Bytes that this version cannot read, and why; an outcome, not an error."""
 
     reason: str
@@ -34,15 +34,15 @@
     return cast(bytes, packb([SCHEMA_VERSION, batch.writer, batch.sequence, records]))
 
 
-def decode_batch(data: bytes) -> Batch | Unreadable:
+def decode_batch(data: bytes) -> Batch | DecodeFailure:
     """Return the batch in one append, or why it cannot be read."""
     try:
         fields = unpackb(data)
         _, writer, sequence, rows = fields
-        records = tuple(_record(row) for row in rows)
+        records = tuple(_decode_record(row) for row in rows)
         return Batch(Incarnation(convert(writer, str)), convert(sequence, int), records)
     except (ValueError, TypeError, IndexError, ValidationError) as error:
-        return Unreadable(f"cannot read record batch: {error}")
+        return DecodeFailure(f"cannot read record batch: {error}")
 
 
 def encode_message(message: Message) -> bytes:
@@ -50,21 +50,21 @@
     return cast(bytes, packb([_MESSAGE_TAGS[type(message)], *message]))
 
 
-def decode_message(fields: Any) -> Message | Unreadable:
+def decode_message(fields: Any) -> Message | DecodeFailure:
     """Return the message in an unpacked msgpack array, or why it is none."""
     try:
-        return cast(Message, _convert(MESSAGE_TYPES, fields))
+        return cast(Message, _decode_row(MESSAGE_TYPES, fields))
     except (ValueError, TypeError, IndexError, ValidationError) as error:
-        return Unreadable(f"cannot read message: {error}")
+        return DecodeFailure(f"cannot read message: {error}")
 
 
-def _record(row: Sequence[Any]) -> Record:
-    return cast(Record, _convert(RECORD_TYPES, row))
+def _decode_record(row: Sequence[Any]) -> Record:
+    return cast(Record, _decode_row(RECORD_TYPES, row))
 
 
-def _convert(kinds: tuple[type[Any], ...], row: Sequence[Any]) -> Any:
+def _decode_row(types: tuple[type[Any], ...], row: Sequence[Any]) -> Any:
     tag, *fields = row
     if tag < 0:
         raise ValueError(f"negative tag {tag}")
-    kind = kinds[tag]
+    kind = types[tag]
     return convert(fields[: len(kind._fields)], kind)
--- a/libs/transport/src/clementinebend_transport/message_stream.py
+++ b/libs/transport/src/clementinebend_transport/message_stream.py
@@ -28,7 +28,7 @@
 from msgpack import Unpacker
 from msgpack.exceptions import BufferFull
 
-from clementinebend_records.codec import Unreadable, decode_message, encode_message
+from clementinebend_records.codec import DecodeFailure, decode_message, encode_message
 from clementinebend_records.messages import MESSAGE_TYPES, Message
 from clementinebend_transport.channel import Channel
 from clementinebend_transport.metrics import counter
@@ -123,7 +123,7 @@
 
     def _take(self, fields: Any) -> None:
         message = decode_message(fields)
-        if not isinstance(message, Unreadable):
+        if not isinstance(message, DecodeFailure):
             self.inbox.append(message)
         elif _is_newer(fields):
             _skipped.inc()
