--- a/libs/declarations/src/clementinebend_declarations/replay.py
+++ b/libs/declarations/src/clementinebend_declarations/replay.py
@@ -36,7 +36,7 @@
     empty_configuration_state,
 )
 from clementinebend_records.codec import SCHEMA_VERSION
-from clementinebend_records.identifiers import name_of
+from clementinebend_records.identifiers import process_name_of
 from clementinebend_records.records import (
     Batch,
     Checkpoint,
@@ -106,7 +106,9 @@
     for record in batch.records:
         if state.configuration.activated_schema != activated:
             reason = "an activation must be the last record of its batch"
-            outcomes.append(Rejected(reason, state.offset, name_of(batch.writer)))
+            outcomes.append(
+                Rejected(reason, state.offset, process_name_of(batch.writer))
+            )
             break
         state, record_outcomes = _apply(record, state)
         outcomes.extend(record_outcomes)
--- a/libs/entry/src/clementinebend_entry/closer.py
+++ b/libs/entry/src/clementinebend_entry/closer.py
@@ -25,7 +25,7 @@
 from clementinebend_entry.sidecar_pool import SidecarPool
 from clementinebend_ledger.replay import LedgerState
 from clementinebend_ledger.state import WitnessStatus
-from clementinebend_records.identifiers import Incarnation, name_of
+from clementinebend_records.identifiers import Incarnation, process_name_of
 from clementinebend_records.messages import CloseNotice, CloseReply, Receipt
 from clementinebend_records.records import (
     CloseAck,
@@ -83,7 +83,7 @@
     def look(self, shard: LedgerShard, entries: Entries) -> None:
         """Close what is to be closed in a shard, and ask its witnesses."""
         for holder in shard.state.holders:
-            if name_of(holder) != entries.name:
+            if process_name_of(holder) != entries.name:
                 self.reach.on_holder(holder, self.loop.time())
         for holder in holders_to_close(shard.state, entries):
             self.close(shard, holder)
@@ -106,7 +106,7 @@
         self, shard: LedgerShard, holder: Incarnation, entries: Entries
     ) -> bool:
         """Return whether this entry is to look after a closed holder by now."""
-        if name_of(holder) == entries.name:
+        if process_name_of(holder) == entries.name:
             return True
         now = self.loop.time()
         since = self.first_seen.setdefault((shard.stream, holder), now)
@@ -118,7 +118,7 @@
             return
         logger.info("%s: closing holder %s", shard.stream, holder)
         CLOSES.labels("close").inc()
-        self.reach.on_close(name_of(holder))
+        self.reach.on_close(process_name_of(holder))
         self.ledger.shards.post(shard, (HolderClose(holder, self.ledger.incarnation),))
 
     def is_first(self, *subject: str) -> bool:
@@ -136,7 +136,7 @@
             self.on_reply(reply._replace(witness=notice.witness))
             return
         message = CloseNotice(shard.stream, shard.state.offset, notice.holder)
-        name = name_of(notice.witness)
+        name = process_name_of(notice.witness)
         link = self.link_to(name, notice.is_sidecar)
         if link is None or not link.up.is_set() or link.peer is None:
             return
--- a/libs/entry/src/clementinebend_entry/closing.py
+++ b/libs/entry/src/clementinebend_entry/closing.py
@@ -13,7 +13,7 @@
 from clementinebend_ledger.replay import LedgerState
 from clementinebend_ledger.state import WitnessStatus
 from clementinebend_membership.rendezvous import rendezvous
-from clementinebend_records.identifiers import Incarnation, name_of
+from clementinebend_records.identifiers import Incarnation, process_name_of
 
 STAGGER_S = 2.0
 NOTICE_INTERVAL_S = 0.25
@@ -72,7 +72,7 @@
     return tuple(
         witness
         for witness in sorted(witnesses)
-        if peers.get(name_of(witness), witness) != witness
+        if peers.get(process_name_of(witness), witness) != witness
         and not state.holders.get(witness, {"closed": False})["closed"]
     )
 
@@ -84,7 +84,7 @@
 
 
 def _is_due(holder: Incarnation, entries: Entries) -> bool:
-    name = name_of(holder)
+    name = process_name_of(holder)
     if name == entries.name:
         return holder not in entries.own
     overdue = entries.overdue.get(name)
--- a/libs/entry/src/clementinebend_entry/holders.py
+++ b/libs/entry/src/clementinebend_entry/holders.py
@@ -28,8 +28,8 @@
     GrantId,
     Incarnation,
     RunId,
-    name_of,
     new_incarnation,
+    process_name_of,
 )
 from clementinebend_records.records import GrantReturn, Record
 
@@ -105,13 +105,13 @@
 
     def is_outdated(self, seen: WitnessesSeen, streams: Iterable[str]) -> bool:
         """Return whether a sidecar in scope has been replaced."""
-        current = {name_of(sidecar): sidecar for sidecar in seen.sidecars}
+        current = {process_name_of(sidecar): sidecar for sidecar in seen.sidecars}
         scoped = {
             witness
             for stream in streams
             for witness in self.current.witnesses.get(stream, {})
         }
-        return any(current.get(name_of(each), each) != each for each in scoped)
+        return any(current.get(process_name_of(each), each) != each for each in scoped)
 
     def is_prepared(self, seen: WitnessesSeen, streams: Iterable[str]) -> bool:
         """Return whether the next holder may use all witnesses in reach."""
--- a/libs/entry/src/clementinebend_entry/reach.py
+++ b/libs/entry/src/clementinebend_entry/reach.py
@@ -14,7 +14,7 @@
     on_host_list,
     suspects,
 )
-from clementinebend_records.identifiers import Incarnation, name_of
+from clementinebend_records.identifiers import Incarnation, process_name_of
 
 LONGEST_DOUBLING = 10
 NEVER_SEEN = Incarnation("")
@@ -52,13 +52,13 @@
 
     def on_holder(self, holder: Incarnation, now: float) -> None:
         """Take in a holder; of an entry that is no peer nothing is seen."""
-        name = name_of(holder)
+        name = process_name_of(holder)
         if name not in self.peers:
             self.on_down(name, holder, now)
 
     def on_written(self, writer: Incarnation, now: float) -> None:
         """Take in that a batch of an entry was read on the log."""
-        self.written_at[name_of(writer)] = now
+        self.written_at[process_name_of(writer)] = now
 
     def on_close(self, name: str) -> None:
         """Take in that this entry closes a holder of ``name``."""
--- a/libs/records/src/clementinebend_records/identifiers.py
+++ b/libs/records/src/clementinebend_records/identifiers.py
@@ -23,15 +23,15 @@
 """A share of a budget that replay of the ledger gave to one holder."""
 
 KEY_DIGEST_BYTES = 12
-SUFFIX_BYTES = 6
+INCARNATION_SUFFIX_BYTES = 6
 
 
 def new_incarnation(name: str) -> Incarnation:
     """Return an identifier for a new life of the process called ``name``."""
-    return Incarnation(f"{name}#{token_hex(SUFFIX_BYTES)}")
+    return Incarnation(f"{name}#{token_hex(INCARNATION_SUFFIX_BYTES)}")
 
 
-def name_of(incarnation: Incarnation) -> str:
+def process_name_of(incarnation: Incarnation) -> str:
     """Return the process name inside an incarnation."""
     return incarnation.partition("#")[0]
 
--- a/libs/relay/src/clementinebend_relay/announcing.py
+++ b/libs/relay/src/clementinebend_relay/announcing.py
@@ -12,7 +12,7 @@
     KeyedRecord,
     StoreFailure,
 )
-from clementinebend_records.identifiers import Incarnation, name_of
+from clementinebend_records.identifiers import Incarnation, process_name_of
 from clementinebend_relay.decisions import log_decision
 from clementinebend_transport.client_connection import Address
 
@@ -70,17 +70,17 @@
 
     def has_successor(self, boot: str) -> bool:
         """Tell whether another boot of the same process has announced itself."""
-        newest = self.announcements.get(name_of(Incarnation(boot)))
+        newest = self.announcements.get(process_name_of(Incarnation(boot)))
         return newest is not None and newest.boot != boot
 
     def is_announced(self, boot: str) -> bool:
         """Tell whether a boot is the newest one of a process that is known."""
-        newest = self.announcements.get(name_of(Incarnation(boot)))
+        newest = self.announcements.get(process_name_of(Incarnation(boot)))
         return newest is not None and newest.boot == boot
 
     def others(self, boot: str) -> list[Address]:
         """Return where all processes but that of ``boot`` take datagrams."""
-        own = name_of(Incarnation(boot))
+        own = process_name_of(Incarnation(boot))
         return [
             each.address for name, each in self.announcements.items() if name != own
         ]
--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -8,7 +8,7 @@
 from clementinebend_ledger.mark_gifts import Wish
 from clementinebend_ledger.mark_transfers import TransferBook
 from clementinebend_ledger.mark_witness import NO_EPOCH
-from clementinebend_records.identifiers import Incarnation, name_of
+from clementinebend_records.identifiers import Incarnation, process_name_of
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.budgets import Budgets
 from clementinebend_relay.homes import WATCH_PAUSE, Homes
@@ -212,7 +212,7 @@
             return
         self.on_heard(message.boot)
         amount = self.transfers.take(message.boot, message.team, message.transfer)
-        giver = name_of(Incarnation(message.boot))
+        giver = process_name_of(Incarnation(message.boot))
         part = self.budgets.part(message.team)
         if not message.is_home and giver == self.home_of(part):
             self.homes.on_no_home(part)
--- a/tests/functional/test_entry_process.py
+++ b/tests/functional/test_entry_process.py
@@ -8,7 +8,7 @@
 
 from clementinebend_ledger.outcomes import Billed, TransferApplied
 from clementinebend_ledger.replay import BudgetSummary, budget_summary
-from clementinebend_records.identifiers import name_of
+from clementinebend_records.identifiers import process_name_of
 from clementinebend_records.records import Bill, ClaimOutcome
 from clementinebend_standins.models.text import expected_text, prompt_tokens
 from clementinebend_transport.http_client import OpenAnswer
@@ -57,7 +57,7 @@
 
     async def closed() -> bool:
         released = (await cluster.ledger()).state.released
-        return [name_of(holder) for holder in released].count(entry) >= count
+        return [process_name_of(holder) for holder in released].count(entry) >= count
 
     await wait_until(closed, f"holders of {entry} are released")
 
@@ -319,7 +319,7 @@
         assert (await cluster.ask("entry-1", asked, {})).status == 200
         await until_bills(cluster, 1)
         holders = (await cluster.ledger()).state.holders
-        (holder,) = (each for each in holders if name_of(each) == "entry-1")
+        (holder,) = (each for each in holders if process_name_of(each) == "entry-1")
         cluster.processes.pause(cluster.running["entry-1"])
         code, output = await cluster.operate("close", holder)
         assert code == 0, output
--- a/tests/functional/test_faults_pause.py
+++ b/tests/functional/test_faults_pause.py
@@ -6,7 +6,7 @@
 import pytest
 import pytest_asyncio
 
-from clementinebend_records.identifiers import Incarnation, name_of
+from clementinebend_records.identifiers import Incarnation, process_name_of
 from tests.lib.books import books_of, until_balanced
 from tests.lib.cluster_files import Plan, host_list
 from tests.lib.clusters import Cluster, running_cluster
@@ -54,7 +54,7 @@
     return {
         holder
         for holder, state in holders
-        if name_of(holder) == entry and not state["closed"]
+        if process_name_of(holder) == entry and not state["closed"]
     }
 
 
--- a/tests/unit/relay/mark_world.py
+++ b/tests/unit/relay/mark_world.py
@@ -18,7 +18,11 @@
     RecordsDropped,
     StoreFailure,
 )
-from clementinebend_records.identifiers import Incarnation, name_of, new_incarnation
+from clementinebend_records.identifiers import (
+    Incarnation,
+    new_incarnation,
+    process_name_of,
+)
 from clementinebend_relay.announcing import Announcement, Directory
 from clementinebend_relay.budgets import Budgets, boot_of
 from clementinebend_relay.messages import (
@@ -187,7 +191,7 @@
         amount = self.transfers.take(message.boot, message.team, message.transfer)
         spent = self.world.spent.get(self.boot, 0)
         self.world.spent[self.boot] = spent - amount
-        giver = name_of(Incarnation(message.boot))
+        giver = process_name_of(Incarnation(message.boot))
         self.budgets.on_gift(message.team, amount, giver)
 
     def call(self, amount: int) -> bool:
