--- a/libs/records/src/clementinebend_records/identifiers.py
+++ b/libs/records/src/clementinebend_records/identifiers.py
@@ -1,6 +1,6 @@
-"""Names that every part of the fleet uses for the same things.
+"""Types and generators of the identifiers that the whole fleet uses.
 
-All are plain strings or whole numbers, so that they travel in any codec.
+All are strings or integers, which every codec can represent.
 """
 
 from hashlib import blake2b
@@ -8,36 +8,36 @@
 from typing import NewType
 
 Tokens = NewType("Tokens", int)
-"""An amount of a budget, in tokens; never negative."""
+"""An amount of tokens of a budget, never negative."""
 
 Incarnation = NewType("Incarnation", str)
-"""One life of one process: its name, ``#``, and a random suffix."""
+"""One start of a process: its name, ``#`` and a random suffix."""
 
 RequestKey = NewType("RequestKey", str)
-"""Team and idempotency key of a caller's request: what is billed once."""
+"""Team and digest of the idempotency key of a request, which is billed once."""
 
 RunId = NewType("RunId", str)
-"""One attempt to execute a request on one endpoint."""
+"""Identifier of one attempt to execute a request on an endpoint."""
 
 GrantId = NewType("GrantId", str)
-"""A share of a budget that replay of the ledger gave to one holder."""
+"""Identifier of a part of a budget that ledger replay granted to a holder."""
 
 KEY_DIGEST_BYTES = 12
 INCARNATION_SUFFIX_BYTES = 6
 
 
 def new_incarnation(name: str) -> Incarnation:
-    """Return an identifier for a new life of the process called ``name``."""
+    """Return the identifier of a new start of the process called ``name``."""
     return Incarnation(f"{name}#{token_hex(INCARNATION_SUFFIX_BYTES)}")
 
 
 def process_name_of(incarnation: Incarnation) -> str:
-    """Return the process name inside an incarnation."""
+    """Return the process name of an incarnation."""
     return incarnation.partition("#")[0]
 
 
 def new_run_id() -> RunId:
-    """Return an identifier for a new attempt."""
+    """Return the identifier of a new attempt."""
     return RunId(token_hex(KEY_DIGEST_BYTES))
 
 
