--- a/libs/records/src/clementinebend_records/mapping.py
+++ b/libs/records/src/clementinebend_records/mapping.py
@@ -31,7 +31,7 @@
     allowed: str
 
 
-class _Converted(NamedTuple):
+class _Conversion(NamedTuple):
     """The value, or, when there are ``problems``, nothing."""
 
     value: Any
@@ -67,10 +67,10 @@
     return result
 
 
-def _convert(value: object, kind: Any, path: tuple[str, ...]) -> _Converted:
-    kind = _underlying(kind)
+def _convert(value: object, kind: Any, path: tuple[str, ...]) -> _Conversion:
+    kind = _unwrap_new_type(kind)
     if kind is Any or kind is object:
-        return _Converted(value)
+        return _Conversion(value)
     if kind in _SCALARS:
         return _convert_scalar(value, kind, path)
     if _is_named_tuple(kind):
@@ -80,7 +80,7 @@
     return _convert_generic(value, kind, path)
 
 
-def _convert_generic(value: object, kind: Any, path: tuple[str, ...]) -> _Converted:
+def _convert_generic(value: object, kind: Any, path: tuple[str, ...]) -> _Conversion:
     origin = get_origin(kind)
     if origin in (Union, UnionType):
         return _convert_union(value, kind, path)
@@ -93,75 +93,83 @@
 
 def _convert_scalar(
     value: object, kind: type[Any], path: tuple[str, ...]
-) -> _Converted:
+) -> _Conversion:
     scalar = _SCALARS[kind]
-    is_number_by_accident = isinstance(value, bool) and kind is not bool
-    if is_number_by_accident or not isinstance(value, scalar.accepted):
-        return _problem(path, _found(value), _TYPE_NAMES[kind])
+    is_unexpected_bool = isinstance(value, bool) and kind is not bool
+    if is_unexpected_bool or not isinstance(value, scalar.accepted):
+        return _failed_conversion(path, _describe_value(value), _TYPE_NAMES[kind])
     try:
-        return _Converted(scalar.convert(value))
+        return _Conversion(scalar.convert(value))
     except OverflowError:
-        return _problem(path, "the number is too large", _TYPE_NAMES[kind])
+        return _failed_conversion(path, "the number is too large", _TYPE_NAMES[kind])
 
 
 def _convert_enum(
     value: object, kind: type[StrEnum], path: tuple[str, ...]
-) -> _Converted:
+) -> _Conversion:
     values = {str(member): member for member in kind}
     if isinstance(value, str) and value in values:
-        return _Converted(values[value])
-    return _problem(path, _found(value), f"one of {_listed(values)}")
+        return _Conversion(values[value])
+    return _failed_conversion(
+        path, _describe_value(value), f"one of {_join_names(values)}"
+    )
 
 
-def _convert_union(value: object, kind: Any, path: tuple[str, ...]) -> _Converted:
+def _convert_union(value: object, kind: Any, path: tuple[str, ...]) -> _Conversion:
     choices = get_args(kind)
     if value is None and NoneType in choices:
-        return _Converted(None)
-    others = tuple(choice for choice in choices if choice is not NoneType)
-    if len(others) == 1:
-        return _convert(value, others[0], path)
-    outcomes = tuple(_convert(value, choice, path) for choice in others)
-    fitting = (outcome for outcome in outcomes if not outcome.problems)
-    allowed = " or ".join(describe_kind(choice) for choice in choices)
-    return next(fitting, _problem(path, _found(value), allowed))
+        return _Conversion(None)
+    other_types = tuple(choice for choice in choices if choice is not NoneType)
+    if len(other_types) == 1:
+        return _convert(value, other_types[0], path)
+    outcomes = tuple(_convert(value, choice, path) for choice in other_types)
+    successful = (outcome for outcome in outcomes if not outcome.problems)
+    allowed = " or ".join(describe_type(choice) for choice in choices)
+    return next(successful, _failed_conversion(path, _describe_value(value), allowed))
 
 
-def _convert_dict(value: object, kind: Any, path: tuple[str, ...]) -> _Converted:
+def _convert_dict(value: object, kind: Any, path: tuple[str, ...]) -> _Conversion:
     if not isinstance(value, Mapping):
-        return _problem(path, _found(value), describe_kind(dict[str, kind]))
-    wrong_keys = tuple(
-        MappingProblem((*path, str(key)), f"the key {_found(key)}", "a string as key")
+        return _failed_conversion(
+            path, _describe_value(value), describe_type(dict[str, kind])
+        )
+    invalid_keys = tuple(
+        MappingProblem(
+            (*path, str(key)), f"the key {_describe_value(key)}", "a string as key"
+        )
         for key in value
         if not isinstance(key, str)
     )
     converted = {
         key: _convert(item, kind, (*path, str(key))) for key, item in value.items()
     }
-    problems = wrong_keys + _problems_of(converted.values())
+    problems = invalid_keys + _collect_problems(converted.values())
     if problems:
-        return _Converted(None, problems)
-    return _Converted({key: item.value for key, item in converted.items()})
+        return _Conversion(None, problems)
+    return _Conversion({key: item.value for key, item in converted.items()})
 
 
-def _convert_items(value: object, kind: Any, path: tuple[str, ...]) -> _Converted:
+def _convert_items(value: object, kind: Any, path: tuple[str, ...]) -> _Conversion:
     if not isinstance(value, list | tuple):
-        return _problem(path, _found(value), describe_kind(tuple[kind, ...]))
+        return _failed_conversion(
+            path, _describe_value(value), describe_type(tuple[kind, ...])
+        )
     converted = tuple(
         _convert(item, kind, (*path, str(index))) for index, item in enumerate(value)
     )
-    problems = _problems_of(converted)
+    problems = _collect_problems(converted)
     if problems:
-        return _Converted(None, problems)
-    return _Converted(tuple(item.value for item in converted))
+        return _Conversion(None, problems)
+    return _Conversion(tuple(item.value for item in converted))
 
 
-def _convert_fields(value: object, kind: Any, path: tuple[str, ...]) -> _Converted:
+def _convert_fields(value: object, kind: Any, path: tuple[str, ...]) -> _Conversion:
     if not isinstance(value, Mapping):
-        return _problem(path, _found(value), describe_kind(kind))
+        return _failed_conversion(path, _describe_value(value), describe_type(kind))
     hints = get_type_hints(kind)
     unknown = _unknown_keys(value, kind, path)
     missing = tuple(
-        MappingProblem((*path, name), "is missing", describe_kind(hints[name]))
+        MappingProblem((*path, name), "is missing", describe_type(hints[name]))
         for name in kind._fields
         if name not in value and name not in kind._field_defaults
     )
@@ -170,10 +178,10 @@
         for name in kind._fields
         if name in value
     }
-    problems = unknown + missing + _problems_of(converted.values())
+    problems = unknown + missing + _collect_problems(converted.values())
     if problems:
-        return _Converted(None, problems)
-    return _Converted(kind(**{name: item.value for name, item in converted.items()}))
+        return _Conversion(None, problems)
+    return _Conversion(kind(**{name: item.value for name, item in converted.items()}))
 
 
 def _unknown_keys(
@@ -186,45 +194,47 @@
     )
 
 
-def describe_kind(kind: Any) -> str:
+def describe_type(kind: Any) -> str:
     """Return in words what a value of ``kind`` may be, for error messages."""
-    kind = _underlying(kind)
+    kind = _unwrap_new_type(kind)
     if kind in _TYPE_NAMES:
         return _TYPE_NAMES[kind]
     if _is_named_tuple(kind):
         return f"a mapping with {_allowed_keys(kind)}"
     if isinstance(kind, type) and issubclass(kind, StrEnum):
-        return f"one of {_listed(str(member) for member in kind)}"
+        return f"one of {_join_names(str(member) for member in kind)}"
     return _describe_generic(get_origin(kind), get_args(kind))
 
 
 def _describe_generic(origin: Any, arguments: tuple[Any, ...]) -> str:
     if origin in (Union, UnionType):
-        return " or ".join(describe_kind(choice) for choice in arguments)
+        return " or ".join(describe_type(choice) for choice in arguments)
     if origin in (dict, Mapping):
-        return f"a mapping from names to {describe_kind(arguments[1])}"
+        return f"a mapping from names to {describe_type(arguments[1])}"
     if origin is tuple:
-        return f"a list, each item {describe_kind(arguments[0])}"
+        return f"a list, each item {describe_type(arguments[0])}"
     return "any value"
 
 
-def _problem(path: tuple[str, ...], problem: str, allowed: str) -> _Converted:
-    return _Converted(None, (MappingProblem(path, problem, allowed),))
+def _failed_conversion(
+    path: tuple[str, ...], problem: str, allowed: str
+) -> _Conversion:
+    return _Conversion(None, (MappingProblem(path, problem, allowed),))
 
 
-def _problems_of(converted: Iterable[_Converted]) -> tuple[MappingProblem, ...]:
+def _collect_problems(converted: Iterable[_Conversion]) -> tuple[MappingProblem, ...]:
     return tuple(chain.from_iterable(item.problems for item in converted))
 
 
 def _allowed_keys(kind: Any) -> str:
-    return f"the keys {_listed(kind._fields)}"
+    return f"the keys {_join_names(kind._fields)}"
 
 
-def _listed(names: Iterable[str]) -> str:
+def _join_names(names: Iterable[str]) -> str:
     return ", ".join(names)
 
 
-def _found(value: object) -> str:
+def _describe_value(value: object) -> str:
     if value is None:
         return "is empty"
     if isinstance(value, Mapping):
@@ -234,7 +244,7 @@
     return f"is {value!r}"
 
 
-def _underlying(kind: Any) -> Any:
+def _unwrap_new_type(kind: Any) -> Any:
     """Return the type that a ``NewType`` stands for."""
     while hasattr(kind, "__supertype__"):
         kind = kind.__supertype__
--- a/libs/transport/src/clementinebend_transport/settings.py
+++ b/libs/transport/src/clementinebend_transport/settings.py
@@ -11,7 +11,7 @@
 from clementinebend_records.mapping import (
     MappingProblem,
     convert_mapping,
-    describe_kind,
+    describe_type,
 )
 from clementinebend_transport.exceptions import SettingsError
 from clementinebend_transport.settings_checks import measure_problems
@@ -51,9 +51,9 @@
     except UnicodeDecodeError as error:
         return _failure(path, f"is not UTF-8 at byte {error.start}", "UTF-8 text")
     except YAMLError as error:
-        return _failure(path, f"is not YAML: {_one_line(error)}", describe_kind(kind))
+        return _failure(path, f"is not YAML: {_one_line(error)}", describe_type(kind))
     except (RecursionError, ValueError) as error:
-        return _failure(path, f"is not usable YAML: {error}", describe_kind(kind))
+        return _failure(path, f"is not usable YAML: {error}", describe_type(kind))
     settings = convert_mapping({} if document is None else document, kind)
     if not isinstance(settings, kind):
         assert isinstance(settings, tuple)
