--- a/libs/records/src/clementinebend_records/mapping.py
+++ b/libs/records/src/clementinebend_records/mapping.py
@@ -1,4 +1,4 @@
-"""Conversion of plain mappings, as read from YAML, to typed ``NamedTuple``s.
+"""Conversion of mappings, as read from YAML, to typed ``NamedTuple``s.
 
 Supported field types: nested ``NamedTuple``s, ``dict[str, X]``,
 ``tuple[X, ...]``, ``X | None``, ``StrEnum``, ``str``, ``int``, ``float``,
@@ -24,7 +24,7 @@
 
 
 class MappingProblem(NamedTuple):
-    """One thing that is wrong: where, what, and what would be right."""
+    """An invalid value: its key path, the problem and what is allowed."""
 
     path: tuple[str, ...]
     problem: str
@@ -32,14 +32,14 @@
 
 
 class _Conversion(NamedTuple):
-    """The value, or, when there are ``problems``, nothing."""
+    """The converted value, or ``None`` and the ``problems`` found."""
 
     value: Any
     problems: tuple[MappingProblem, ...] = ()
 
 
 class _Scalar(NamedTuple):
-    """The types of a value read that make a field of this kind."""
+    """The accepted types of an input value, and its conversion."""
 
     accepted: tuple[type[Any], ...]
     convert: Callable[[Any], Any]
@@ -195,7 +195,7 @@
 
 
 def describe_type(kind: Any) -> str:
-    """Return in words what a value of ``kind`` may be, for error messages."""
+    """Return a description of the values that ``kind`` allows, for error messages."""
     kind = _unwrap_new_type(kind)
     if kind in _TYPE_NAMES:
         return _TYPE_NAMES[kind]
@@ -245,7 +245,7 @@
 
 
 def _unwrap_new_type(kind: Any) -> Any:
-    """Return the type that a ``NewType`` stands for."""
+    """Return the underlying type of a ``NewType``, or the type itself."""
     while hasattr(kind, "__supertype__"):
         kind = kind.__supertype__
     return kind
