--- a/libs/entry/src/clementinebend_entry/borrower.py
+++ b/libs/entry/src/clementinebend_entry/borrower.py
@@ -39,9 +39,9 @@
         A part that is too small for each of those who wait is not taken.
         """
         amount = sum(waiter.amount for waiter in waiters)
-        least = min(waiter.amount for waiter in waiters)
+        min_amount = min(waiter.amount for waiter in waiters)
         for name in self.peers.creditors():
-            given = await self.peers.ask_transfer(name, budget, amount, least)
+            given = await self.peers.ask_transfer(name, budget, amount, min_amount)
             amount -= given
             TRANSFERS.labels("received" if given else "nothing").inc()
             if amount <= 0:
--- a/libs/entry/src/clementinebend_entry/configuration.py
+++ b/libs/entry/src/clementinebend_entry/configuration.py
@@ -36,7 +36,7 @@
 from clementinebend_platform_client.exceptions import NewerSchema
 from clementinebend_platform_client.tail import StreamTail, TailOutcome
 from clementinebend_platform_client.writer import StreamWriter
-from clementinebend_records.messages import RevisionGive
+from clementinebend_records.messages import ConfigurationReply
 from clementinebend_records.records import Batch, Checkpoint
 from clementinebend_records.streams import CONFIGURATION_STREAM
 
@@ -45,7 +45,7 @@
 PEER_INTERVAL_S = 0.5
 """How often peers are asked while the log cannot be reached."""
 
-AskPeers = Callable[[], Awaitable[tuple[RevisionGive, ...]]]
+AskPeers = Callable[[], Awaitable[tuple[ConfigurationReply, ...]]]
 
 
 class ConfigurationKeeper:
@@ -131,7 +131,7 @@
         logger.info("revision %d is in force", self.revision)
         self.on_change(self.directory)
 
-    def take(self, give: RevisionGive) -> None:
+    def take(self, give: ConfigurationReply) -> None:
         """Take the configuration of a peer, if it is newer."""
         match decode_configuration_state(give.state):
             case Result(tag="ok", ok=state):
@@ -141,9 +141,9 @@
             case Result(error=reason):
                 logger.warning("a peer's configuration is unusable: %s", reason)
 
-    def give(self, question: int) -> RevisionGive:
+    def give(self, question: int) -> ConfigurationReply:
         """Return the configuration in force, for a peer."""
-        return RevisionGive(
+        return ConfigurationReply(
             question, self.revision, encode_configuration_state(self.state)
         )
 
--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -40,7 +40,7 @@
     CloseReply,
     Hello,
     LoadReport,
-    TransferGive,
+    TransferReply,
 )
 from clementinebend_records.records import Bill
 from clementinebend_transport.http_client import HttpClient
@@ -228,7 +228,7 @@
         self.closer.on_reply(news)
 
     @on_peer_news.register
-    def _(self, news: TransferGive) -> None:
+    def _(self, news: TransferReply) -> None:
         if news.amount:
             self.ledger.take(PartReceived(news))
 
--- a/libs/entry/src/clementinebend_entry/ledger_events.py
+++ b/libs/entry/src/clementinebend_entry/ledger_events.py
@@ -5,7 +5,7 @@
 from clementinebend_entry.budget_waits import Waiter
 from clementinebend_ledger.replay import LedgerOutcome
 from clementinebend_records.identifiers import Incarnation, RequestKey, RunId
-from clementinebend_records.messages import Receipt, TransferGive
+from clementinebend_records.messages import Receipt, TransferReply
 
 
 class Replayed(NamedTuple):
@@ -57,7 +57,7 @@
 class PartReceived(NamedTuple):
     """A peer passed a part of a grant."""
 
-    give: TransferGive
+    give: TransferReply
 
 
 class Ticked(NamedTuple):
--- a/libs/entry/src/clementinebend_entry/lender.py
+++ b/libs/entry/src/clementinebend_entry/lender.py
@@ -3,7 +3,7 @@
 from clementinebend_entry.ledger import Ledger
 from clementinebend_ledger.holder import refuse_sender, send_transfer
 from clementinebend_records.identifiers import GrantId, Incarnation, new_run_id
-from clementinebend_records.messages import TransferAsk, TransferGive
+from clementinebend_records.messages import TransferReply, TransferRequest
 from clementinebend_records.records import Record
 
 
@@ -18,7 +18,7 @@
         """The holder that this entry is now."""
         return self.ledger.incarnation
 
-    def lend(self, ask: TransferAsk, receiver: Incarnation) -> TransferGive:
+    def lend(self, ask: TransferRequest, receiver: Incarnation) -> TransferReply:
         """Pass a part of a grant, as far as one has free tokens."""
         ledger = self.ledger
         transfer = GrantId(f"{ledger.incarnation}/t{new_run_id()}")
@@ -31,7 +31,7 @@
             ask.amount,
             stream,
             ask.question,
-            ask.least,
+            ask.min_amount,
         )
         ledger.dirty.set()
         return message
--- a/libs/entry/src/clementinebend_entry/peer_link.py
+++ b/libs/entry/src/clementinebend_entry/peer_link.py
@@ -11,21 +11,21 @@
 from clementinebend_entry.sidecar_link import LinkDown, LinkUp
 from clementinebend_records.messages import (
     CloseReply,
+    ConfigurationReply,
+    ConfigurationRequest,
     Hello,
     Message,
     PointerPut,
     PointerReply,
-    ReceiptKeep,
-    ReceiptKept,
-    RevisionAsk,
-    RevisionGive,
-    TransferAsk,
-    TransferGive,
+    ReceiptStored,
+    ReceiptStoreRequest,
+    TransferReply,
+    TransferRequest,
 )
 
-Question = PointerPut | ReceiptKeep | RevisionAsk | TransferAsk
-Answer = PointerReply | ReceiptKept | RevisionGive | TransferGive
-PeerNews = LinkUp | LinkDown | CloseReply | TransferGive
+Question = PointerPut | ReceiptStoreRequest | ConfigurationRequest | TransferRequest
+Answer = PointerReply | ReceiptStored | ConfigurationReply | TransferReply
+PeerNews = LinkUp | LinkDown | CloseReply | TransferReply
 Tell = Callable[[PeerNews], None]
 
 
@@ -93,14 +93,16 @@
 
 
 @_take.register(PointerReply)
-@_take.register(ReceiptKept)
-@_take.register(RevisionGive)
-def _(message: PointerReply | ReceiptKept | RevisionGive, link: PeerLink) -> None:
+@_take.register(ReceiptStored)
+@_take.register(ConfigurationReply)
+def _(
+    message: PointerReply | ReceiptStored | ConfigurationReply, link: PeerLink
+) -> None:
     link.answer(message)
 
 
 @_take.register
-def _(message: TransferGive, link: PeerLink) -> None:
+def _(message: TransferReply, link: PeerLink) -> None:
     link.tell(message)
     link.answer(message)
 
--- a/libs/entry/src/clementinebend_entry/peer_pool.py
+++ b/libs/entry/src/clementinebend_entry/peer_pool.py
@@ -13,18 +13,18 @@
 from clementinebend_membership.rendezvous import rendezvous
 from clementinebend_records.identifiers import Incarnation
 from clementinebend_records.messages import (
+    ConfigurationReply,
+    ConfigurationRequest,
     Hello,
-    PointerDrop,
+    PointerDelete,
     PointerPut,
     PointerReply,
     Receipt,
-    ReceiptKeep,
-    ReceiptKept,
     ReceiptsLogged,
-    RevisionAsk,
-    RevisionGive,
-    TransferAsk,
-    TransferGive,
+    ReceiptStored,
+    ReceiptStoreRequest,
+    TransferReply,
+    TransferRequest,
 )
 
 KEEPERS = 4
@@ -95,7 +95,7 @@
         answer = await self.links[name].ask(put, patience)
         return answer if isinstance(answer, PointerReply) else None
 
-    def drop_pointer(self, name: str, drop: PointerDrop) -> None:
+    def drop_pointer(self, name: str, drop: PointerDelete) -> None:
         """Have a peer remove a pointer."""
         self.links[name].post(drop)
 
@@ -108,8 +108,10 @@
         patience = self.settings.receipt_timeout_ms / MILLISECONDS
         names = [name for name in self.keepers() if self.is_allowed(name, allowed)]
         for name in rendezvous(receipt.key, names, KEEPER_TRIES):
-            answer = await self.links[name].ask(ReceiptKeep(0, receipt), patience)
-            if isinstance(answer, ReceiptKept):
+            answer = await self.links[name].ask(
+                ReceiptStoreRequest(0, receipt), patience
+            )
+            if isinstance(answer, ReceiptStored):
                 return name
         return None
 
@@ -132,22 +134,26 @@
         return tuple(name for name in self.live() if own in partners(name, zones))
 
     async def ask_transfer(
-        self, name: str, budget: str, amount: int, least: int
+        self, name: str, budget: str, amount: int, min_amount: int
     ) -> int:
         """Ask a peer for a part of a grant; return how much it gave."""
         patience = self.settings.pointer_timeout_ms / MILLISECONDS
-        ask = TransferAsk(0, budget, amount, least)
+        ask = TransferRequest(0, budget, amount, min_amount)
         answer = await self.links[name].ask(ask, patience)
-        return answer.amount if isinstance(answer, TransferGive) else 0
+        return answer.amount if isinstance(answer, TransferReply) else 0
 
     # Configuration.
 
-    async def ask_revisions(self) -> tuple[RevisionGive, ...]:
+    async def ask_revisions(self) -> tuple[ConfigurationReply, ...]:
         """Ask all peers that can be reached for their configuration."""
         links = [link for link in self.links.values() if link.up.is_set()]
-        asked = (link.ask(RevisionAsk(0), REVISION_PATIENCE_S) for link in links)
+        asked = (
+            link.ask(ConfigurationRequest(0), REVISION_PATIENCE_S) for link in links
+        )
         answers = await gather(*asked)
-        return tuple(answer for answer in answers if isinstance(answer, RevisionGive))
+        return tuple(
+            answer for answer in answers if isinstance(answer, ConfigurationReply)
+        )
 
     async def close(self) -> None:
         """Close all links."""
--- a/libs/entry/src/clementinebend_entry/peer_server.py
+++ b/libs/entry/src/clementinebend_entry/peer_server.py
@@ -10,21 +10,21 @@
 from clementinebend_entry.pointer_desk import PointerDesk
 from clementinebend_records.messages import (
     CloseNotice,
+    ConfigurationReply,
+    ConfigurationRequest,
     DrainOrder,
     Hello,
     Message,
-    PointerDrop,
+    PointerDelete,
     PointerPut,
-    ReceiptKeep,
-    ReceiptKept,
     ReceiptsLogged,
-    RevisionAsk,
-    RevisionGive,
-    TransferAsk,
+    ReceiptStored,
+    ReceiptStoreRequest,
+    TransferRequest,
 )
 from clementinebend_transport.message_stream import MessageStream
 
-GiveRevision = Callable[[int], RevisionGive]
+GiveRevision = Callable[[int], ConfigurationReply]
 
 
 class PeerServer:
@@ -89,24 +89,24 @@
         self.stream.post(self.server.pointers.keep(message))
 
     @take.register
-    def _(self, message: PointerDrop) -> None:
+    def _(self, message: PointerDelete) -> None:
         self.server.pointers.forget(message)
 
     @take.register
-    def _(self, message: ReceiptKeep) -> None:
+    def _(self, message: ReceiptStoreRequest) -> None:
         if self.server.own.keeper.keep(message.receipt):
-            self.stream.post(ReceiptKept(message.question))
+            self.stream.post(ReceiptStored(message.question))
 
     @take.register
     def _(self, message: ReceiptsLogged) -> None:
         self.server.own.keeper.forget(message.runs)
 
     @take.register
-    def _(self, message: RevisionAsk) -> None:
+    def _(self, message: ConfigurationRequest) -> None:
         self.stream.post(self.server.give_revision(message.question))
 
     @take.register
-    def _(self, message: TransferAsk) -> None:
+    def _(self, message: TransferRequest) -> None:
         if self.peer is not None:
             give = self.server.own.lender.lend(message, self.peer.incarnation)
             self.stream.post(give)
--- a/libs/entry/src/clementinebend_entry/pointer_desk.py
+++ b/libs/entry/src/clementinebend_entry/pointer_desk.py
@@ -16,7 +16,7 @@
 from clementinebend_entry.pointers import drop_pointer, empty_pointers, put_pointer
 from clementinebend_membership.rendezvous import rendezvous_by_zone
 from clementinebend_records.identifiers import RequestKey, RunId
-from clementinebend_records.messages import PointerDrop, PointerPut, PointerReply
+from clementinebend_records.messages import PointerDelete, PointerPut, PointerReply
 
 POINTER_ZONES = 2
 
@@ -38,7 +38,7 @@
     async def ask_pointer(self, name: str, put: PointerPut) -> PointerReply | None:
         """Ask a peer; None if it does not answer in a short time."""
 
-    def drop_pointer(self, name: str, drop: PointerDrop) -> None:
+    def drop_pointer(self, name: str, drop: PointerDelete) -> None:
         """Have a peer remove a pointer."""
 
 
@@ -83,13 +83,13 @@
 
     def drop(self, key: RequestKey, run: RunId) -> None:
         """Remove the pointer to a run that gives no answer."""
-        drop = PointerDrop(key, run)
+        drop = PointerDelete(key, run)
         for host in self.hosts(key):
             if host == self.name:
                 self.forget(drop)
             else:
                 self.peers.drop_pointer(host, drop)
 
-    def forget(self, drop: PointerDrop) -> None:
+    def forget(self, drop: PointerDelete) -> None:
         """Remove a pointer here."""
         self.store = drop_pointer(self.store, drop)
--- a/libs/entry/src/clementinebend_entry/pointers.py
+++ b/libs/entry/src/clementinebend_entry/pointers.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from clementinebend_records.identifiers import RequestKey, RunId
-from clementinebend_records.messages import PointerDrop, PointerPut, PointerReply
+from clementinebend_records.messages import PointerDelete, PointerPut, PointerReply
 
 POINTER_LIFETIME_S = 900.0
 
@@ -51,7 +51,7 @@
     return store, reply
 
 
-def drop_pointer(store: PointerStore, drop: PointerDrop) -> PointerStore:
+def drop_pointer(store: PointerStore, drop: PointerDelete) -> PointerStore:
     """Remove the pointer of a run that did not take place."""
     standing = store.pointers.get(drop.key)
     if standing is not None and standing.run == drop.run:
--- a/libs/ledger/src/clementinebend_ledger/holder_transfers.py
+++ b/libs/ledger/src/clementinebend_ledger/holder_transfers.py
@@ -16,7 +16,7 @@
 )
 from clementinebend_ledger.state import trim_oldest
 from clementinebend_records.identifiers import GrantId, Incarnation
-from clementinebend_records.messages import TransferGive
+from clementinebend_records.messages import TransferReply
 from clementinebend_records.records import Transfer
 
 
@@ -29,7 +29,7 @@
     stream: str = "",
     question: int = 0,
     min_amount: int = 0,
-) -> tuple[HolderState, TransferGive]:
+) -> tuple[HolderState, TransferReply]:
     """Transfer up to ``amount`` tokens of one of the holder's grants to a peer.
 
     The message has amount 0 if no grant has at least ``min_amount`` free tokens, if
@@ -41,7 +41,7 @@
     known = transfer in holder.known_transfers
     if grant is None or not usable or known or amount <= 0:
         none = GrantId("")
-        message = TransferGive(
+        message = TransferReply(
             question, budget, transfer, none, holder.incarnation, receiver, 0
         )
         return holder, message
@@ -51,10 +51,10 @@
     delete_if_spent(use, grant)
     record = Transfer(budget, transfer, grant, holder.incarnation, receiver, given)
     _add_unlogged(holder, record)
-    return holder, TransferGive(question, *record)
+    return holder, TransferReply(question, *record)
 
 
-def receive_transfer(holder: HolderState, message: TransferGive) -> HolderState:
+def receive_transfer(holder: HolderState, message: TransferReply) -> HolderState:
     """Add a transfer from a peer as a grant, which can be used at once.
 
     A repeated transfer is ignored, and so is one of a sender whose close this entry
--- a/libs/records/src/clementinebend_records/messages.py
+++ b/libs/records/src/clementinebend_records/messages.py
@@ -200,39 +200,39 @@
     body_digest: str
 
 
-class PointerDrop(NamedTuple):
+class PointerDelete(NamedTuple):
     """The run did not take place: remove its pointer."""
 
     key: RequestKey
     run: RunId
 
 
-class ReceiptKeep(NamedTuple):
+class ReceiptStoreRequest(NamedTuple):
     """Asks a peer in another availability zone to keep a receipt."""
 
     question: int
     receipt: Receipt
 
 
-class ReceiptKept(NamedTuple):
+class ReceiptStored(NamedTuple):
     """The receipt is kept until its holder says that it is logged."""
 
     question: int
 
 
-class TransferAsk(NamedTuple):
+class TransferRequest(NamedTuple):
     """Asks a peer for a part of its grants of ``budget``.
 
-    Less than ``least`` is of no use to the asker.
+    Less than ``min_amount`` is of no use to the sender.
     """
 
     question: int
     budget: str
     amount: int
-    least: int = 0
+    min_amount: int = 0
 
 
-class TransferGive(NamedTuple):
+class TransferReply(NamedTuple):
     """Passes a part of a grant; the sender has subtracted it already.
 
     ``amount`` 0 means that nothing can be spared.
@@ -247,13 +247,13 @@
     amount: int
 
 
-class RevisionAsk(NamedTuple):
+class ConfigurationRequest(NamedTuple):
     """Asks a peer for the configuration it has in force."""
 
     question: int
 
 
-class RevisionGive(NamedTuple):
+class ConfigurationReply(NamedTuple):
     """A configuration checkpoint: revision, and the state's encoding."""
 
     question: int
@@ -285,13 +285,13 @@
     | CloseReply
     | PointerPut
     | PointerReply
-    | PointerDrop
-    | ReceiptKeep
-    | ReceiptKept
-    | TransferAsk
-    | TransferGive
-    | RevisionAsk
-    | RevisionGive
+    | PointerDelete
+    | ReceiptStoreRequest
+    | ReceiptStored
+    | TransferRequest
+    | TransferReply
+    | ConfigurationRequest
+    | ConfigurationReply
     | DrainOrder
 )
 
@@ -313,13 +313,13 @@
     CloseReply,
     PointerPut,
     PointerReply,
-    PointerDrop,
-    ReceiptKeep,
-    ReceiptKept,
-    TransferAsk,
-    TransferGive,
-    RevisionAsk,
-    RevisionGive,
+    PointerDelete,
+    ReceiptStoreRequest,
+    ReceiptStored,
+    TransferRequest,
+    TransferReply,
+    ConfigurationRequest,
+    ConfigurationReply,
     DrainOrder,
 )
 """Order is the tag on the wire: add at the end only."""
--- a/tests/unit/entry/test_keeping.py
+++ b/tests/unit/entry/test_keeping.py
@@ -35,7 +35,7 @@
 from clementinebend_ledger.state import LedgerState
 from clementinebend_records.identifiers import GrantId, Incarnation, RequestKey, RunId
 from clementinebend_records.messages import (
-    PointerDrop,
+    PointerDelete,
     PointerPut,
     Receipt,
     ReceiptsLogged,
@@ -58,9 +58,9 @@
     store, first = put_pointer(empty_pointers(9), put("r1"), 0.0)
     store, second = put_pointer(store, put("r2"), 1.0)
     assert first.run == second.run == "r1"
-    store = drop_pointer(store, PointerDrop(KEY, RunId("r2")))
+    store = drop_pointer(store, PointerDelete(KEY, RunId("r2")))
     assert put_pointer(store, put("r2"), 2.0)[1].run == "r1"
-    store = drop_pointer(store, PointerDrop(KEY, RunId("r1")))
+    store = drop_pointer(store, PointerDelete(KEY, RunId("r1")))
     assert put_pointer(store, put("r2"), 3.0)[1].run == "r2"
 
 
--- a/tests/unit/ledger/fuzz_entry.py
+++ b/tests/unit/ledger/fuzz_entry.py
@@ -36,7 +36,7 @@
     RequestKey,
     RunId,
 )
-from clementinebend_records.messages import Receipt, Ticket, TransferGive
+from clementinebend_records.messages import Receipt, Ticket, TransferReply
 from clementinebend_records.records import (
     Batch,
     Bill,
@@ -149,14 +149,14 @@
 
     def send_transfer(
         self, budget: str, transfer: GrantId, receiver: Incarnation, amount: int
-    ) -> TransferGive:
+    ) -> TransferReply:
         """Transfer tokens of a grant to a peer."""
         self.holder, message = send_transfer(
             self.holder, budget, transfer, receiver, amount
         )
         return message
 
-    def receive_transfer(self, message: TransferGive) -> None:
+    def receive_transfer(self, message: TransferReply) -> None:
         """Receive a transfer from a peer."""
         self.holder = receive_transfer(self.holder, message)
 
--- a/tests/unit/ledger/fuzz_world.py
+++ b/tests/unit/ledger/fuzz_world.py
@@ -8,7 +8,7 @@
 
 from clementinebend_ledger.replay import restore_ledger
 from clementinebend_records.identifiers import Incarnation, RequestKey, RunId
-from clementinebend_records.messages import Receipt, Ticket, TransferGive
+from clementinebend_records.messages import Receipt, Ticket, TransferReply
 from clementinebend_records.records import Batch, Checkpoint
 from tests.unit.ledger.fuzz_oracle import Execution, Oracle
 
@@ -125,4 +125,4 @@
     """Messages that were sent; each may arrive late, twice or never."""
 
     starts: list[Start]
-    transfers: list[TransferGive]
+    transfers: list[TransferReply]
--- a/tests/unit/transport/test_message_stream.py
+++ b/tests/unit/transport/test_message_stream.py
@@ -18,7 +18,7 @@
 from clementinebend_records.messages import (
     MESSAGE_TYPES,
     Message,
-    PointerDrop,
+    PointerDelete,
     RunCancel,
     RunChunk,
 )
@@ -69,7 +69,7 @@
 
 MESSAGES = st.one_of(
     st.builds(RunChunk, st.text().map(RunId), st.integers(0, 2**63), st.binary()),
-    st.builds(PointerDrop, st.text().map(RequestKey), st.just(RUN)),
+    st.builds(PointerDelete, st.text().map(RequestKey), st.just(RUN)),
     st.just(None),
 )
 """``None`` stands for a message that only a newer version knows."""
