--- a/libs/admission/src/clementinebend_admission/models.py
+++ b/libs/admission/src/clementinebend_admission/models.py
@@ -5,7 +5,7 @@
 
 from typing import NamedTuple
 
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 
 class Capacity(NamedTuple):
@@ -47,7 +47,7 @@
 class Refused(NamedTuple):
     """The request does not run; ``retry_after_ms`` follows from the state."""
 
-    reason: NotRun
+    reason: NotRunReason
     retry_after_ms: int
     request: str
 
--- a/libs/admission/src/clementinebend_admission/queue.py
+++ b/libs/admission/src/clementinebend_admission/queue.py
@@ -39,7 +39,7 @@
     new_team,
     tokens_ahead,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 __all__ = [
     "AdmissionState",
@@ -67,7 +67,7 @@
     state = _enter(state, arrival.team, arrival.weight, now)
     if arrival.deadline <= now:
         return state, Refused(
-            NotRun.DEADLINE, _retry_after(state, arrival, 0.0), arrival.request
+            NotRunReason.DEADLINE, _retry_after(state, arrival, 0.0), arrival.request
         )
     if _goes_next(state, arrival):
         return _start(state, arrival, now), Admitted(arrival.request)
@@ -120,7 +120,9 @@
     for arrival in late:
         set_overdue(state, arrival)
     refused = tuple(
-        Refused(NotRun.DEADLINE, _retry_after(state, arrival, 0.0), arrival.request)
+        Refused(
+            NotRunReason.DEADLINE, _retry_after(state, arrival, 0.0), arrival.request
+        )
         for arrival in state.overdue.values()
     )
     state.overdue.clear()
@@ -173,12 +175,14 @@
     wait = _wait(state, arrival)
     remaining = arrival.deadline - now
     if wait >= remaining:
-        reason = NotRun.DEADLINE if state.capacity.slots else NotRun.NO_ENDPOINT
+        reason = (
+            NotRunReason.DEADLINE if state.capacity.slots else NotRunReason.NO_ENDPOINT
+        )
         after = _retry_after(state, arrival, remaining)
         return state, Refused(reason, after, arrival.request)
     if _queue_is_full(state, arrival):
         after = _retry_after(state, arrival, wait / 2)
-        return state, Refused(NotRun.OVERLOADED, after, arrival.request)
+        return state, Refused(NotRunReason.OVERLOADED, after, arrival.request)
     team = enqueue(state.teams[arrival.team], arrival, state.sequence)
     state.teams[arrival.team] = team
     state.backlogged[arrival.team] = None
--- a/libs/entry/src/clementinebend_entry/answers.py
+++ b/libs/entry/src/clementinebend_entry/answers.py
@@ -14,7 +14,7 @@
     Trouble,
     Unknown,
 )
-from clementinebend_records.reasons import NotRun, Outcome
+from clementinebend_records.reasons import NotRunReason, RequestOutcome
 from clementinebend_transport.http_server import Response
 
 JSON = "application/json"
@@ -24,26 +24,26 @@
 GATEWAY_TIMEOUT = 504
 
 _STATUS_BY_REASON = {
-    NotRun.BUDGET_EXHAUSTED: 402,
-    NotRun.KEY_CONFLICT: 409,
-    NotRun.OVERLOADED: 429,
+    NotRunReason.BUDGET_EXHAUSTED: 402,
+    NotRunReason.KEY_CONFLICT: 409,
+    NotRunReason.OVERLOADED: 429,
 }
 
 _TEXT_BY_REASON = {
-    NotRun.BUDGET_EXHAUSTED: "the budget cannot cover this request; top it up",
-    NotRun.BUDGET_UNAVAILABLE: "no share of the budget could be had in time",
-    NotRun.LEAVING: "the endpoint is leaving",
-    NotRun.OVERLOADED: "too many requests are waiting",
-    NotRun.DEADLINE: "the deadline cannot be met",
-    NotRun.NO_ENDPOINT: "no endpoint of the service can be reached",
-    NotRun.HOLDER_CLOSED: "the reservation is no longer valid",
-    NotRun.WRONG_INCARNATION: "the endpoint has restarted",
-    NotRun.UNKNOWN_KEY: "no run of this idempotency key is known",
-    NotRun.KEY_CONFLICT: "the idempotency key belongs to another request",
-    NotRun.LOG_UNAVAILABLE: "the platform's log cannot be reached",
-    NotRun.NOT_READY: "this entry is starting or stopping",
-    NotRun.UNREACHABLE: "the endpoint cannot be reached",
-    NotRun.CANCELLED: "the request was cancelled",
+    NotRunReason.BUDGET_EXHAUSTED: "the budget cannot cover this request; top it up",
+    NotRunReason.BUDGET_UNAVAILABLE: "no share of the budget could be had in time",
+    NotRunReason.LEAVING: "the endpoint is leaving",
+    NotRunReason.OVERLOADED: "too many requests are waiting",
+    NotRunReason.DEADLINE: "the deadline cannot be met",
+    NotRunReason.NO_ENDPOINT: "no endpoint of the service can be reached",
+    NotRunReason.HOLDER_CLOSED: "the reservation is no longer valid",
+    NotRunReason.WRONG_INCARNATION: "the endpoint has restarted",
+    NotRunReason.UNKNOWN_KEY: "no run of this idempotency key is known",
+    NotRunReason.KEY_CONFLICT: "the idempotency key belongs to another request",
+    NotRunReason.LOG_UNAVAILABLE: "the platform's log cannot be reached",
+    NotRunReason.NOT_READY: "this entry is starting or stopping",
+    NotRunReason.UNREACHABLE: "the endpoint cannot be reached",
+    NotRunReason.CANCELLED: "the request was cancelled",
 }
 
 
@@ -70,7 +70,7 @@
 @error_of.register
 def _(trouble: Refusal) -> dict[str, Any]:
     return {
-        "type": str(Outcome.NOT_RUN),
+        "type": str(RequestOutcome.NOT_RUN),
         "reason": str(trouble.reason),
         "message": trouble.message or _TEXT_BY_REASON[trouble.reason],
         "retry_after_ms": trouble.retry_after_ms,
@@ -79,12 +79,12 @@
 
 @error_of.register
 def _(trouble: Failed) -> dict[str, Any]:
-    return {"type": str(Outcome.FAILED), "message": trouble.message}
+    return {"type": str(RequestOutcome.FAILED), "message": trouble.message}
 
 
 @error_of.register
 def _(trouble: Unknown) -> dict[str, Any]:
-    return {"type": str(Outcome.UNKNOWN), "message": trouble.message}
+    return {"type": str(RequestOutcome.UNKNOWN), "message": trouble.message}
 
 
 @singledispatch
--- a/libs/entry/src/clementinebend_entry/attachment.py
+++ b/libs/entry/src/clementinebend_entry/attachment.py
@@ -14,7 +14,7 @@
 from clementinebend_entry.sidecar_link import SidecarLink
 from clementinebend_records.identifiers import new_run_id
 from clementinebend_records.messages import RunAttach
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 LINK_PATIENCE_S = 1.0
 """How long the sidecar of an earlier run is waited for."""
@@ -61,7 +61,7 @@
 
 def is_unknown(result: RunResult) -> bool:
     """Return whether the sidecar knows no run of the key."""
-    return isinstance(result, RunNotRun) and result.reason is NotRun.UNKNOWN_KEY
+    return isinstance(result, RunNotRun) and result.reason is NotRunReason.UNKNOWN_KEY
 
 
 async def is_up(link: SidecarLink, deadline: float) -> bool:
--- a/libs/entry/src/clementinebend_entry/budget_waits.py
+++ b/libs/entry/src/clementinebend_entry/budget_waits.py
@@ -12,7 +12,7 @@
 from clementinebend_ledger.holder import HolderState, wait_hint
 from clementinebend_ledger.replay import BudgetSummary
 from clementinebend_records.identifiers import GrantId, Incarnation, RunId
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 EXHAUSTED_RETRY_MS = 60_000
 """Only a top-up helps, and operators make those by hand."""
@@ -78,9 +78,9 @@
     if view.failing_for > LOG_PATIENCE_S and is_hopeless:
         message = "no grant is at hand and the platform's log cannot be reached"
         retry_ms = outage_retry_ms(view.failing_for)
-        return Refusal(NotRun.BUDGET_UNAVAILABLE, retry_ms, message)
+        return Refusal(NotRunReason.BUDGET_UNAVAILABLE, retry_ms, message)
     if waiter.amount > remaining(view):
-        return Refusal(NotRun.BUDGET_EXHAUSTED, EXHAUSTED_RETRY_MS)
+        return Refusal(NotRunReason.BUDGET_EXHAUSTED, EXHAUSTED_RETRY_MS)
     if now >= waiter.deadline:
         return budget_is_busy()
     return None
@@ -89,7 +89,7 @@
 def budget_is_busy() -> Refusal:
     """Return the refusal of a request that waited in vain for a settlement."""
     message = "all of the budget that remains is reserved"
-    return Refusal(NotRun.BUDGET_UNAVAILABLE, BUSY_RETRY_MS, message, BUSY_STATUS)
+    return Refusal(NotRunReason.BUDGET_UNAVAILABLE, BUSY_RETRY_MS, message, BUSY_STATUS)
 
 
 def is_settling(
--- a/libs/entry/src/clementinebend_entry/calls.py
+++ b/libs/entry/src/clementinebend_entry/calls.py
@@ -27,7 +27,7 @@
     digest_of,
     request_key,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_transport.http_server import Request
 
 INVALID = 400
@@ -146,7 +146,7 @@
         return Error(BadRequest(INVALID, "x-budget", message))
     if not budget:
         message = f"no budget of this team covers the service {found.name!r}"
-        refusal = Refusal(NotRun.BUDGET_EXHAUSTED, NO_BUDGET_RETRY_MS, message)
+        refusal = Refusal(NotRunReason.BUDGET_EXHAUSTED, NO_BUDGET_RETRY_MS, message)
         return Error(refusal)
     key = headers.idempotency_key or token_hex(MADE_UP_KEY_BYTES)
     limit = token_limit(found.service, body)
--- a/libs/entry/src/clementinebend_entry/claimed_calls.py
+++ b/libs/entry/src/clementinebend_entry/claimed_calls.py
@@ -11,7 +11,7 @@
 from clementinebend_entry.pieces import Whole
 from clementinebend_ledger.claims import ClaimConflict, ClaimLost, ClaimWon
 from clementinebend_records.identifiers import RunId
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 BAD_GATEWAY = 502
 CONFIRM_PATIENCE_S = 0.5
@@ -39,7 +39,7 @@
         if view is None:
             return None
         if view.body_digest != self.call.body_digest:
-            return Refusal(NotRun.KEY_CONFLICT, 0)
+            return Refusal(NotRunReason.KEY_CONFLICT, 0)
         if view.answer is None:
             return None
         ATTACHMENTS.labels("recorded").inc()
@@ -66,13 +66,15 @@
                 return self.recorded() or self.unknown()
             case ClaimConflict():
                 self.run = None
-                return Refusal(NotRun.KEY_CONFLICT, 0)
+                return Refusal(NotRunReason.KEY_CONFLICT, 0)
             case _:
                 return self.log_unavailable()
 
     def log_unavailable(self) -> Refusal:
         """Return the refusal of a call that cannot be claimed now."""
-        return Refusal(NotRun.LOG_UNAVAILABLE, self.desk.retry_after_ms(self.call.key))
+        return Refusal(
+            NotRunReason.LOG_UNAVAILABLE, self.desk.retry_after_ms(self.call.key)
+        )
 
     async def confirm(self) -> None:
         """Read the log up to now before a call of this key is refused.
--- a/libs/entry/src/clementinebend_entry/conclusions.py
+++ b/libs/entry/src/clementinebend_entry/conclusions.py
@@ -17,13 +17,13 @@
     SidecarGone,
     SidecarUnreachable,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
-FINAL_REFUSALS = frozenset((NotRun.KEY_CONFLICT, NotRun.CANCELLED))
+FINAL_REFUSALS = frozenset((NotRunReason.KEY_CONFLICT, NotRunReason.CANCELLED))
 """Refusals that another endpoint would not change."""
 
 PLANNED_REFUSALS = frozenset(
-    (NotRun.LEAVING, NotRun.WRONG_INCARNATION, NotRun.HOLDER_CLOSED)
+    (NotRunReason.LEAVING, NotRunReason.WRONG_INCARNATION, NotRunReason.HOLDER_CLOSED)
 )
 """Refusals by which a sidecar corrects what this entry believed.
 
@@ -62,9 +62,9 @@
 async def _(result: RunNotRun, state: CallState) -> Refusal | None:
     state.drop_pointer()
     state.refusal = Refusal(result.reason, result.retry_after_ms)
-    if result.reason is NotRun.LEAVING:
+    if result.reason is NotRunReason.LEAVING:
         state.note_leaving()
-    if result.reason is NotRun.HOLDER_CLOSED:
+    if result.reason is NotRunReason.HOLDER_CLOSED:
         state.account.withdraw()
     is_final = result.reason in FINAL_REFUSALS
     is_free = result.reason in PLANNED_REFUSALS
--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -26,7 +26,7 @@
 from clementinebend_entry.services import Services
 from clementinebend_entry.sidecar_link import SidecarLink
 from clementinebend_records.messages import RunCancel, Ticket
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_routing.choice import Choice, NoChoice
 
 logger = getLogger(__name__)
@@ -97,7 +97,9 @@
         if isinstance(chosen, NoChoice):
             if await self.is_scope_coming():
                 return
-            reason = NotRun.LOG_UNAVAILABLE if unsafe else NotRun.NO_ENDPOINT
+            reason = (
+                NotRunReason.LOG_UNAVAILABLE if unsafe else NotRunReason.NO_ENDPOINT
+            )
             await self.give_up(self.refusal or Refusal(reason, chosen.retry_after_ms))
             return
         link, choice = chosen
--- a/libs/entry/src/clementinebend_entry/following.py
+++ b/libs/entry/src/clementinebend_entry/following.py
@@ -34,10 +34,10 @@
     RunRefused,
     RunStart,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 MILLISECONDS = 1000
-UNKNOWN_REASON = NotRun.CANCELLED
+UNKNOWN_REASON = NotRunReason.CANCELLED
 """Stands for a reason that only a newer sidecar knows."""
 
 Opening = RunStart | RunAttach
@@ -149,6 +149,6 @@
 
 @take.register
 def _(event: RunRefused, output: AnswerOutput) -> RunResult | None:
-    known = set(NotRun)
-    reason = NotRun(event.reason) if event.reason in known else UNKNOWN_REASON
+    known = set(NotRunReason)
+    reason = NotRunReason(event.reason) if event.reason in known else UNKNOWN_REASON
     return RunNotRun(reason, event.retry_after_ms)
--- a/libs/entry/src/clementinebend_entry/handler.py
+++ b/libs/entry/src/clementinebend_entry/handler.py
@@ -16,7 +16,7 @@
 from clementinebend_entry.outcomes import BadRequest, Refusal
 from clementinebend_entry.responder import count_trouble, respond
 from clementinebend_entry.services import Services
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_transport.http_server import Request, Response
 from clementinebend_transport.metrics import render_metrics
 
@@ -63,7 +63,7 @@
         if path in OWN_PATHS:
             return self.own_page(path)
         if self.readiness.for_calls():
-            return self.refuse(Refusal(NotRun.NOT_READY, NOT_READY_RETRY_MS))
+            return self.refuse(Refusal(NotRunReason.NOT_READY, NOT_READY_RETRY_MS))
         directory = self.directory()
         if len(request.body) > directory.declarations.limits.max_body_bytes:
             return self.refuse(BadRequest(TOO_LARGE, "body", "is too large"))
--- a/libs/entry/src/clementinebend_entry/joining.py
+++ b/libs/entry/src/clementinebend_entry/joining.py
@@ -15,7 +15,7 @@
     RunResult,
     RunWhole,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 NOWHERE = ""
 """The endpoint in a pointer that only asks whether another one stands."""
@@ -29,7 +29,7 @@
     """
     state.account.withdraw()
     if standing.body_digest != state.call.body_digest:
-        state.end(Refusal(NotRun.KEY_CONFLICT, 0))
+        state.end(Refusal(NotRunReason.KEY_CONFLICT, 0))
         return None
     services, call = state.services, state.call
     state.dispatched = True
--- a/libs/entry/src/clementinebend_entry/outcomes.py
+++ b/libs/entry/src/clementinebend_entry/outcomes.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 
 class BadRequest(NamedTuple):
@@ -20,7 +20,7 @@
     the status that goes with the reason.
     """
 
-    reason: NotRun
+    reason: NotRunReason
     retry_after_ms: int
     message: str = ""
     status: int = 0
--- a/libs/entry/src/clementinebend_entry/responder.py
+++ b/libs/entry/src/clementinebend_entry/responder.py
@@ -20,7 +20,7 @@
     Unknown,
 )
 from clementinebend_entry.pieces import Begun, Part, Whole
-from clementinebend_records.reasons import NotRun, Outcome
+from clementinebend_records.reasons import NotRunReason, RequestOutcome
 from clementinebend_transport.http_server import Response
 
 DEADLINE_RETRY_MS = 1_000
@@ -44,7 +44,7 @@
         return Response(piece.status, headers, stream(execution, on_end))
     on_end()
     if isinstance(piece, Whole):
-        count(Outcome.WHOLE)
+        count(RequestOutcome.WHOLE)
         return Response(
             piece.status, (("content-type", piece.content_type),), piece.data
         )
@@ -63,7 +63,7 @@
             if isinstance(piece, Part):
                 yield piece.data
             elif isinstance(piece, Whole):
-                count(Outcome.WHOLE)
+                count(RequestOutcome.WHOLE)
                 yield piece.data
             elif not isinstance(piece, Begun):
                 count_trouble(piece)
@@ -85,7 +85,7 @@
     elif execution.waits_for_budget:
         execution.tell(budget_is_busy())
     else:
-        execution.tell(Refusal(NotRun.DEADLINE, DEADLINE_RETRY_MS))
+        execution.tell(Refusal(NotRunReason.DEADLINE, DEADLINE_RETRY_MS))
 
 
 def leave(execution: Execution) -> None:
@@ -98,15 +98,15 @@
     """Count an outcome other than a whole answer."""
     match trouble:
         case Refusal():
-            count(Outcome.NOT_RUN, trouble.reason)
+            count(RequestOutcome.NOT_RUN, trouble.reason)
         case Failed():
-            count(Outcome.FAILED)
+            count(RequestOutcome.FAILED)
         case Unknown():
-            count(Outcome.UNKNOWN)
+            count(RequestOutcome.UNKNOWN)
         case BadRequest():
             REQUESTS.labels("bad_request", trouble.field).inc()
 
 
-def count(outcome: Outcome, reason: str = "") -> None:
+def count(outcome: RequestOutcome, reason: str = "") -> None:
     """Count an answered request."""
     REQUESTS.labels(outcome, reason).inc()
--- a/libs/entry/src/clementinebend_entry/run_results.py
+++ b/libs/entry/src/clementinebend_entry/run_results.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from clementinebend_records.messages import Receipt
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 
 class RunWhole(NamedTuple):
@@ -15,7 +15,7 @@
 class RunNotRun(NamedTuple):
     """It is proved that the run did not take place."""
 
-    reason: NotRun
+    reason: NotRunReason
     retry_after_ms: int
 
 
--- a/libs/records/src/clementinebend_records/messages.py
+++ b/libs/records/src/clementinebend_records/messages.py
@@ -90,7 +90,7 @@
 
 
 class RunRefused(NamedTuple):
-    """The request did not run here and will not: ``reason`` is a ``NotRun``."""
+    """The request did not run here and will not: ``reason`` is a ``NotRunReason``."""
 
     run: RunId
     reason: str
--- a/libs/records/src/clementinebend_records/reasons.py
+++ b/libs/records/src/clementinebend_records/reasons.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 
 
-class NotRun(StrEnum):
+class NotRunReason(StrEnum):
     """Why a request did not run. None of these is ever billed."""
 
     BUDGET_EXHAUSTED = "budget_exhausted"
@@ -22,7 +22,7 @@
     CANCELLED = "cancelled"
 
 
-class Outcome(StrEnum):
+class RequestOutcome(StrEnum):
     """The four answers a caller can get to a request that was well formed."""
 
     WHOLE = "whole_answer"
--- a/libs/sidecar/src/clementinebend_sidecar/endpoint/verdicts.py
+++ b/libs/sidecar/src/clementinebend_sidecar/endpoint/verdicts.py
@@ -23,7 +23,7 @@
 from msgspec import DecodeError
 from msgspec.json import decode
 
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_sidecar.endpoint.scan import Scan, usage_of
 from clementinebend_sidecar.gate.events import Broken, Refused, Verdict, Whole
 
@@ -32,17 +32,17 @@
 
 NO_USAGE = 0
 
-REFUSED_AT_THE_DOOR: dict[int, NotRun] = {
-    HTTPStatus.NOT_FOUND: NotRun.NOT_READY,
-    HTTPStatus.TOO_MANY_REQUESTS: NotRun.OVERLOADED,
-    HTTPStatus.SERVICE_UNAVAILABLE: NotRun.NOT_READY,
+REFUSED_AT_THE_DOOR: dict[int, NotRunReason] = {
+    HTTPStatus.NOT_FOUND: NotRunReason.NOT_READY,
+    HTTPStatus.TOO_MANY_REQUESTS: NotRunReason.OVERLOADED,
+    HTTPStatus.SERVICE_UNAVAILABLE: NotRunReason.NOT_READY,
 }
 
 
 def no_answer(sent: bool, message: str) -> Verdict:
     """Return the verdict on a request to which no answer came."""
     if not sent:
-        return Refused(NotRun.UNREACHABLE, RETRY_MS)
+        return Refused(NotRunReason.UNREACHABLE, RETRY_MS)
     return Broken(message, usage=None, certain=False)
 
 
--- a/libs/sidecar/src/clementinebend_sidecar/gate/door.py
+++ b/libs/sidecar/src/clementinebend_sidecar/gate/door.py
@@ -3,7 +3,7 @@
 from math import ceil
 
 from clementinebend_records.messages import RunRefused, RunStart
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_sidecar.gate.state import GateState
 
 MS_PER_S = 1000
@@ -19,9 +19,9 @@
     match reason:
         case None:
             return None
-        case NotRun.LEAVING:
+        case NotRunReason.LEAVING:
             return RunRefused(start.run, reason, LEAVING_RETRY_MS)
-        case NotRun.OVERLOADED | NotRun.DEADLINE:
+        case NotRunReason.OVERLOADED | NotRunReason.DEADLINE:
             return RunRefused(start.run, reason, wait_ms)
         case _:
             return RunRefused(start.run, reason, 0)
@@ -40,17 +40,17 @@
     return rounds * state.figures["mean_run_s"]
 
 
-def _reason(state: GateState, start: RunStart, wait_s: float) -> NotRun | None:
+def _reason(state: GateState, start: RunStart, wait_s: float) -> NotRunReason | None:
     if state.figures["leaving"]:
-        return NotRun.LEAVING
+        return NotRunReason.LEAVING
     if start.ticket.sidecar != state.identity.incarnation:
-        return NotRun.WRONG_INCARNATION
+        return NotRunReason.WRONG_INCARNATION
     if start.ticket.holder in state.closed:
-        return NotRun.HOLDER_CLOSED
+        return NotRunReason.HOLDER_CLOSED
     if wait_s * MS_PER_S >= start.deadline_ms:
-        return NotRun.DEADLINE
+        return NotRunReason.DEADLINE
     if len(state.queue) >= state.limits.queue_bound and _is_full(state):
-        return NotRun.OVERLOADED
+        return NotRunReason.OVERLOADED
     return None
 
 
--- a/libs/sidecar/src/clementinebend_sidecar/gate/entries.py
+++ b/libs/sidecar/src/clementinebend_sidecar/gate/entries.py
@@ -18,7 +18,7 @@
     RunRefused,
     RunStart,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_sidecar.gate.door import MS_PER_S, refusal
 from clementinebend_sidecar.gate.effects import Count, Counter, Effect, Send
 from clementinebend_sidecar.gate.keeping import drop_receipt
@@ -74,7 +74,7 @@
     listener = Listener(connection, message.attachment)
     run_id = state.run_by_key.get(message.key)
     if run_id is None:
-        refused = RunRefused(message.attachment, NotRun.UNKNOWN_KEY, 0)
+        refused = RunRefused(message.attachment, NotRunReason.UNKNOWN_KEY, 0)
         yield Count(Counter.REFUSALS, refused.reason)
         yield Send(connection, refused)
         return
@@ -95,7 +95,7 @@
     if any(waiting_listeners(run)):
         return
     if run.phase is Phase.QUEUED:
-        yield from refuse_run(state, run_id, NotRun.CANCELLED)
+        yield from refuse_run(state, run_id, NotRunReason.CANCELLED)
     elif run.phase is Phase.EXECUTING:
         yield from stop_run(state, run_id)
 
@@ -118,7 +118,7 @@
     queued = [place.run for place in state.queue]
     for run_id in queued:
         if state.runs[run_id].start.ticket.holder == holder:
-            yield from refuse_run(state, run_id, NotRun.HOLDER_CLOSED)
+            yield from refuse_run(state, run_id, NotRunReason.HOLDER_CLOSED)
     tickets = [state.runs[run_id].start.ticket for run_id in state.executing]
     pending = sum(ticket.holder == holder for ticket in tickets)
     kept = state.receipts.values()
@@ -154,7 +154,7 @@
     state: GateState, run_id: RunId, body_digest: str, listener: Listener
 ) -> Iterator[Effect]:
     if state.runs[run_id].start.body_digest != body_digest:
-        conflict = RunRefused(listener.run, NotRun.KEY_CONFLICT, 0)
+        conflict = RunRefused(listener.run, NotRunReason.KEY_CONFLICT, 0)
         yield from _refuse(state, listener.connection, conflict)
         return
     yield from _attach(state, run_id, listener)
--- a/libs/sidecar/src/clementinebend_sidecar/gate/events.py
+++ b/libs/sidecar/src/clementinebend_sidecar/gate/events.py
@@ -4,7 +4,7 @@
 
 from clementinebend_records.identifiers import RunId
 from clementinebend_records.messages import CacheEvent, Message
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 
 class Connected(NamedTuple):
@@ -44,7 +44,7 @@
 class Refused(NamedTuple):
     """It is proved that the endpoint did not and will not execute the run."""
 
-    reason: NotRun
+    reason: NotRunReason
     retry_after_ms: int
 
 
--- a/libs/sidecar/src/clementinebend_sidecar/gate/progress.py
+++ b/libs/sidecar/src/clementinebend_sidecar/gate/progress.py
@@ -29,7 +29,7 @@
     RunHead,
     RunRefused,
 )
-from clementinebend_records.reasons import NotRun, Outcome
+from clementinebend_records.reasons import NotRunReason, RequestOutcome
 from clementinebend_sidecar.gate.costs import cost_of, receipt_of
 from clementinebend_sidecar.gate.effects import (
     Count,
@@ -78,7 +78,7 @@
         run_id = state.queue[0].run
         run = state.runs[run_id]
         if now >= run.deadline:
-            yield from refuse_run(state, run_id, NotRun.DEADLINE)
+            yield from refuse_run(state, run_id, NotRunReason.DEADLINE)
             continue
         del state.queue[0]
         state.executing.add(run_id)
@@ -90,7 +90,7 @@
     """Refuse queued runs, and stop executing ones, whose deadline is past."""
     late = [place.run for place in state.queue if now >= state.runs[place.run].deadline]
     for run_id in late:
-        yield from refuse_run(state, run_id, NotRun.DEADLINE)
+        yield from refuse_run(state, run_id, NotRunReason.DEADLINE)
     for run_id in sorted(state.executing):
         if now >= state.runs[run_id].deadline:
             yield from stop_run(state, run_id)
@@ -105,7 +105,7 @@
 
 
 def refuse_run(
-    state: GateState, run_id: RunId, reason: NotRun, retry_after_ms: int = 0
+    state: GateState, run_id: RunId, reason: NotRunReason, retry_after_ms: int = 0
 ) -> Iterator[Effect]:
     """End an accepted run that is proved not to have run."""
     run = state.runs[run_id]
@@ -167,14 +167,14 @@
 def _(verdict: Whole, state: GateState, run_id: RunId, now: float) -> Iterator[Effect]:
     receipt = yield from _keep_receipt(state, run_id, verdict.usage, verdict.succeeded)
     chunks = state.runs[run_id].chunks or ()
-    yield Count(Counter.RUNS, Outcome.WHOLE)
+    yield Count(Counter.RUNS, RequestOutcome.WHOLE)
     yield from _end(state, run_id, RunEnd(run_id, len(chunks), receipt), now)
 
 
 @conclude.register
 def _(verdict: Broken, state: GateState, run_id: RunId, now: float) -> Iterator[Effect]:
     receipt = yield from _keep_receipt(state, run_id, verdict.usage, succeeded=False)
-    outcome = Outcome.FAILED if verdict.certain else Outcome.UNKNOWN
+    outcome = RequestOutcome.FAILED if verdict.certain else RequestOutcome.UNKNOWN
     told = receipt if verdict.certain else None
     yield Count(Counter.RUNS, outcome)
     yield from _end(state, run_id, RunFailed(run_id, verdict.message, told), now)
--- a/tests/functional/test_sidecar_process.py
+++ b/tests/functional/test_sidecar_process.py
@@ -22,7 +22,7 @@
     RunFailed,
     RunRefused,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_standins.models.text import expected_text, prompt_tokens
 from tests.lib.http_calls import read_events
 from tests.lib.sidecars import (
@@ -82,7 +82,7 @@
             assert isinstance(attached.end, RunEnd)
             assert attached.end.receipt.run == "r1"
             conflict = await entry.ask(RunAttach(RunId("a2"), key, "other"))
-            assert conflict == RunRefused(RunId("a2"), NotRun.KEY_CONFLICT, 0)
+            assert conflict == RunRefused(RunId("a2"), NotRunReason.KEY_CONFLICT, 0)
         assert len(await place.behind.get("/ran")) == 1
 
 
@@ -115,7 +115,7 @@
         entry.start("r2")
         refused = await entry.outcome("r2")
         assert isinstance(refused.end, RunRefused)
-        assert refused.end.reason == NotRun.UNREACHABLE
+        assert refused.end.reason == NotRunReason.UNREACHABLE
 
 
 async def test_a_cancelled_run_is_billed_what_it_took_until_then(
@@ -141,7 +141,7 @@
         entry.start("r1")
         refused = await entry.outcome("r1")
         assert isinstance(refused.end, RunRefused)
-        assert refused.end.reason == NotRun.NOT_READY
+        assert refused.end.reason == NotRunReason.NOT_READY
         notice = CloseNotice("ledger-0", 1, HOLDER)
         reply = await entry.ask(notice)
         witness = entry.hello.incarnation
@@ -149,7 +149,7 @@
         entry.start("r2")
         closed = await entry.outcome("r2")
         assert isinstance(closed.end, RunRefused)
-        assert closed.end.reason == NotRun.HOLDER_CLOSED
+        assert closed.end.reason == NotRunReason.HOLDER_CLOSED
         assert await place.behind.get("/ran") == []
 
 
@@ -167,7 +167,7 @@
             entry.start("r1", ticket=ticket)
             refused = await entry.outcome("r1")
             assert isinstance(refused.end, RunRefused)
-            assert refused.end.reason == NotRun.WRONG_INCARNATION
+            assert refused.end.reason == NotRunReason.WRONG_INCARNATION
         assert await place.behind.get("/ran") == []
 
 
@@ -190,7 +190,7 @@
         entry.start("r3")
         refused = await entry.outcome("r3")
         assert isinstance(refused.end, RunRefused)
-        assert refused.end.reason == NotRun.LEAVING
+        assert refused.end.reason == NotRunReason.LEAVING
         second = await entry.outcome("r2")
         assert read_events(second.body).text == expected_text(QUESTION, 8)
         assert isinstance(second.end, RunEnd)
--- a/tests/unit/admission/test_queue.py
+++ b/tests/unit/admission/test_queue.py
@@ -12,7 +12,7 @@
     finish,
     set_capacity,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 
 def arrival(request: str, team: str = "desk", **changes: float) -> Arrival:
@@ -47,7 +47,7 @@
     state, _ = arrive(state, arrival("c"), 4.0)
     state, verdict = arrive(state, arrival("d", deadline=9.0), 4.0)
     assert isinstance(verdict, Refused)
-    assert verdict.reason is NotRun.DEADLINE
+    assert verdict.reason is NotRunReason.DEADLINE
     assert 3_000 <= verdict.retry_after_ms <= 4_500
 
 
@@ -55,7 +55,7 @@
     state = empty_admission(slots=0)
     _, verdict = arrive(state, arrival("a"), 0.0)
     assert isinstance(verdict, Refused)
-    assert verdict.reason is NotRun.NO_ENDPOINT
+    assert verdict.reason is NotRunReason.NO_ENDPOINT
     assert verdict.retry_after_ms >= 1_000
 
 
@@ -66,7 +66,7 @@
     state, greedy = arrive(state, arrival("one more", "greedy"), 0.0)
     state, small = arrive(state, arrival("small", "small"), 0.0)
     assert isinstance(greedy, Refused)
-    assert greedy.reason is NotRun.OVERLOADED
+    assert greedy.reason is NotRunReason.OVERLOADED
     assert isinstance(small, Queued)
 
 
--- a/tests/unit/entry/scripted.py
+++ b/tests/unit/entry/scripted.py
@@ -29,7 +29,7 @@
     RunRefused,
     RunStart,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_records.records import Batch, TopUp
 from clementinebend_standins.apps.log import log_handler
 from clementinebend_transport.http_server import Request, Response, serve_http
@@ -70,7 +70,7 @@
     send(RunEnd(start.run, 1, receipt_of(start, amount)))
 
 
-def refuse(reason: NotRun) -> Act:
+def refuse(reason: NotRunReason) -> Act:
     """Refuse each run."""
     return lambda start, send: send(RunRefused(start.run, reason, 700))
 
@@ -96,7 +96,7 @@
 
 def know_no_run(attach: RunAttach, send: Send) -> None:
     """Refuse to attach."""
-    send(RunRefused(attach.attachment, NotRun.UNKNOWN_KEY, 0))
+    send(RunRefused(attach.attachment, NotRunReason.UNKNOWN_KEY, 0))
 
 
 def accept_only(start: RunStart, send: Send) -> None:
--- a/tests/unit/entry/test_answers.py
+++ b/tests/unit/entry/test_answers.py
@@ -12,18 +12,18 @@
     Trouble,
     Unknown,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 
 
 @pytest.mark.parametrize(
     ("trouble", "status", "kind"),
     [
         (BadRequest(413, "body", "is too large"), 413, "bad_request"),
-        (Refusal(NotRun.BUDGET_EXHAUSTED, 60_000), 402, "not_run"),
-        (Refusal(NotRun.BUDGET_UNAVAILABLE, 2000), 503, "not_run"),
-        (Refusal(NotRun.BUDGET_UNAVAILABLE, 1000, "busy", 429), 429, "not_run"),
-        (Refusal(NotRun.KEY_CONFLICT, 0), 409, "not_run"),
-        (Refusal(NotRun.OVERLOADED, 10), 429, "not_run"),
+        (Refusal(NotRunReason.BUDGET_EXHAUSTED, 60_000), 402, "not_run"),
+        (Refusal(NotRunReason.BUDGET_UNAVAILABLE, 2000), 503, "not_run"),
+        (Refusal(NotRunReason.BUDGET_UNAVAILABLE, 1000, "busy", 429), 429, "not_run"),
+        (Refusal(NotRunReason.KEY_CONFLICT, 0), 409, "not_run"),
+        (Refusal(NotRunReason.OVERLOADED, 10), 429, "not_run"),
         (Failed("engine died"), 502, "ran_and_failed"),
         (Unknown("lost"), 504, "outcome_unknown"),
     ],
@@ -38,8 +38,8 @@
     assert ("retry-after" in dict(response.headers)) == isinstance(trouble, Refusal)
 
 
-@pytest.mark.parametrize("reason", NotRun)
-def test_every_refusal_says_why_and_when_to_come_back(reason: NotRun) -> None:
+@pytest.mark.parametrize("reason", NotRunReason)
+def test_every_refusal_says_why_and_when_to_come_back(reason: NotRunReason) -> None:
     response = answer_of(Refusal(reason, 1500))
     assert isinstance(response.body, bytes)
     error = loads(response.body)["error"]
--- a/tests/unit/entry/test_calls.py
+++ b/tests/unit/entry/test_calls.py
@@ -8,7 +8,7 @@
 from clementinebend_entry.model_body import LARGEST_LIMIT
 from clementinebend_entry.outcomes import BadRequest, Refusal
 from clementinebend_records.identifiers import request_key
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from tests.unit.entry.builders import NOW, chat_request, parsed, request
 
 MESSAGES = [{"role": "user", "content": "pharmacy"}]
@@ -114,7 +114,7 @@
     assert parsed(chat_request(body(model="secret"))).status == 404
     refusal = parsed(chat_request(key="rival-key"))
     assert isinstance(refusal, Refusal)
-    assert refusal.reason is NotRun.BUDGET_EXHAUSTED
+    assert refusal.reason is NotRunReason.BUDGET_EXHAUSTED
     assert "chat-rival" in refusal.message
 
 
--- a/tests/unit/entry/test_claims.py
+++ b/tests/unit/entry/test_claims.py
@@ -17,7 +17,7 @@
     RequestKey,
     RunId,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_records.streams import claims_stream
 from tests.lib.fake_log import FakeLog
 from tests.lib.processes import wait_until
@@ -124,7 +124,7 @@
         confirming = create_task(held.claim.confirm())
         await free_after_the_next_batch(held)
         await confirming
-        refusal = Refusal(NotRun.LOG_UNAVAILABLE, 0)
+        refusal = Refusal(NotRunReason.LOG_UNAVAILABLE, 0)
         assert held.claim.honest(refusal) == refusal
 
 
--- a/tests/unit/entry/test_execution.py
+++ b/tests/unit/entry/test_execution.py
@@ -20,7 +20,7 @@
     RunFailed,
     RunHead,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_records.records import Batch, Claim, ClaimVoid
 from clementinebend_transport.http_server import Response
 from tests.lib.processes import wait_until
@@ -52,7 +52,7 @@
 
 
 async def test_work_refused_by_one_sidecar_runs_at_another() -> None:
-    leaving = ScriptedSidecar("engine-1", refuse(NotRun.LEAVING))
+    leaving = ScriptedSidecar("engine-1", refuse(NotRunReason.LEAVING))
     serving = ScriptedSidecar("engine-2", whole)
     async with scripted_entry(leaving, serving) as entry:
         answers = [await entry.ask(chat_request()) for _ in range(4)]
@@ -61,7 +61,7 @@
 
 
 async def test_when_all_refuse_the_caller_is_told_why_and_nothing_is_billed() -> None:
-    sidecar = ScriptedSidecar("engine-1", refuse(NotRun.OVERLOADED))
+    sidecar = ScriptedSidecar("engine-1", refuse(NotRunReason.OVERLOADED))
     async with scripted_entry(sidecar) as entry:
         answer = await entry.ask(chat_request())
         assert answer.status == 429
@@ -132,7 +132,7 @@
 
 
 async def test_a_booking_refused_before_it_ran_may_be_tried_again() -> None:
-    sidecar = ScriptedSidecar("service-1", refuse(NotRun.OVERLOADED))
+    sidecar = ScriptedSidecar("service-1", refuse(NotRunReason.OVERLOADED))
     async with scripted_entry(sidecar, service="booking") as entry:
         made = request("POST", "/booking", b"site 7", idempotency_key="b")
         refused = await entry.ask(made)
@@ -194,7 +194,7 @@
         made = request("POST", "/booking", b"site 7", idempotency_key="b")
         asked = create_task(entry.ask(made))
         await sidecar.until(lambda: len(sidecar.started) == 1)
-        await sidecar.restart(refuse(NotRun.LEAVING))
+        await sidecar.restart(refuse(NotRunReason.LEAVING))
         assert (await asked).status == 504
         entry.fleet.router.note_leaving("service-1", True)
         again = await entry.ask(made)
--- a/tests/unit/entry/test_ledger.py
+++ b/tests/unit/entry/test_ledger.py
@@ -30,7 +30,7 @@
     new_incarnation,
 )
 from clementinebend_records.messages import Receipt
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_records.records import (
     Batch,
     Bill,
@@ -154,7 +154,7 @@
     async with bench() as made:
         answer = await made.reserve("r1", 1001)
         assert isinstance(answer, Refusal)
-        assert answer.reason is NotRun.BUDGET_EXHAUSTED
+        assert answer.reason is NotRunReason.BUDGET_EXHAUSTED
         assert made.ledger.is_settled
 
 
@@ -178,7 +178,7 @@
         made.ledger.take(Finished(receipt(second, 10)))
         refusal = await made.reserve("r3", 600)
         assert isinstance(refusal, Refusal)
-        assert refusal.reason is NotRun.BUDGET_UNAVAILABLE
+        assert refusal.reason is NotRunReason.BUDGET_UNAVAILABLE
         await made.log.set(outage=False)
         state = await made.until(lambda state: bool(state.billed_runs))
         assert budget_summary(state, BUDGET).billed == 10
--- a/tests/unit/sidecar/test_endpoint.py
+++ b/tests/unit/sidecar/test_endpoint.py
@@ -8,7 +8,7 @@
 from clementinebend_declarations.models import ServiceKind
 from clementinebend_records.identifiers import Incarnation
 from clementinebend_records.messages import RunStart, Ticket
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_sidecar.endpoint.bodies import engine_body
 from clementinebend_sidecar.endpoint.scan import Scan, scan_end, scan_piece
 from clementinebend_sidecar.endpoint.verdicts import (
@@ -78,7 +78,7 @@
 def test_what_an_unanswered_request_proves() -> None:
     refused = no_answer(sent=False, message="no connection")
     assert isinstance(refused, Refused)
-    assert refused.reason is NotRun.UNREACHABLE
+    assert refused.reason is NotRunReason.UNREACHABLE
     unknown = no_answer(sent=True, message="reset")
     assert unknown == Broken("reset", usage=None, certain=False)
 
--- a/tests/unit/sidecar/test_gate.py
+++ b/tests/unit/sidecar/test_gate.py
@@ -21,7 +21,7 @@
     RunHead,
     RunRefused,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_sidecar.gate.effects import Count, Counter, Exit
 from clementinebend_sidecar.gate.events import (
     Broken,
@@ -95,23 +95,31 @@
     gate = Gate()
     old = Incarnation("engine-1#before")
     assert refusals(gate.receive(run_start("r1", sidecar=old))) == [
-        NotRun.WRONG_INCARNATION
+        NotRunReason.WRONG_INCARNATION
+    ]
+    assert refusals(gate.receive(run_start("r2", deadline_ms=0))) == [
+        NotRunReason.DEADLINE
     ]
-    assert refusals(gate.receive(run_start("r2", deadline_ms=0))) == [NotRun.DEADLINE]
     gate.receive(CloseNotice("ledger-0", 5, HOLDER))
-    assert refusals(gate.receive(run_start("r3"))) == [NotRun.HOLDER_CLOSED]
-    assert refusals(gate.receive(attach("a1", "team/none"))) == [NotRun.UNKNOWN_KEY]
+    assert refusals(gate.receive(run_start("r3"))) == [NotRunReason.HOLDER_CLOSED]
+    assert refusals(gate.receive(attach("a1", "team/none"))) == [
+        NotRunReason.UNKNOWN_KEY
+    ]
     other = "entry-2#a"
     for run in ("r4", "r5", "r6", "r7"):
         assert not refusals(gate.receive(run_start(run, holder=other)))
-    assert refusals(gate.receive(run_start("r8", holder=other))) == [NotRun.OVERLOADED]
+    assert refusals(gate.receive(run_start("r8", holder=other))) == [
+        NotRunReason.OVERLOADED
+    ]
     conflict = run_start("r9", key="team/r4", digest="other", holder=other)
-    assert refusals(gate.receive(conflict)) == [NotRun.KEY_CONFLICT]
+    assert refusals(gate.receive(conflict)) == [NotRunReason.KEY_CONFLICT]
     assert refusals(gate.receive(attach("a2", "team/r4", "other"))) == [
-        NotRun.KEY_CONFLICT
+        NotRunReason.KEY_CONFLICT
     ]
     gate.receive(DrainOrder("operator"))
-    assert refusals(gate.receive(run_start("r10", holder=other))) == [NotRun.LEAVING]
+    assert refusals(gate.receive(run_start("r10", holder=other))) == [
+        NotRunReason.LEAVING
+    ]
     assert gate.started == ["r4", "r5"]
     assert not gate.state.receipts
 
@@ -197,7 +205,7 @@
     gate = Gate()
     for run in ("r1", "r2", "r3"):
         gate.receive(run_start(run))
-    assert refusals(gate.receive(RunCancel(R3))) == [NotRun.CANCELLED]
+    assert refusals(gate.receive(RunCancel(R3))) == [NotRunReason.CANCELLED]
     gate.answer("r1")
     assert gate.started == ["r1", "r2"]
     assert list(gate.state.receipts) == ["r1"]
@@ -206,9 +214,9 @@
 def test_an_endpoint_that_refuses_leaves_no_receipt() -> None:
     gate = Gate()
     gate.receive(run_start("r1"))
-    verdict = Refused(NotRun.UNREACHABLE, 1000)
+    verdict = Refused(NotRunReason.UNREACHABLE, 1000)
     told = answers(sent(gate.tell(RunOver(R1, verdict))))
-    assert told == [RunRefused(R1, NotRun.UNREACHABLE, 1000)]
+    assert told == [RunRefused(R1, NotRunReason.UNREACHABLE, 1000)]
     assert not gate.state.receipts
     assert gate.receive(run_start("r1")) == told
 
@@ -265,11 +273,11 @@
         gate.receive(run_start(run, holder="entry-2#a"))
     gate.receive(run_start("r3"))
     refused = sent(gate.tell(Received(2, CloseNotice("ledger-0", 9, HOLDER))))
-    assert refusals(refused) == [NotRun.HOLDER_CLOSED]
+    assert refusals(refused) == [NotRunReason.HOLDER_CLOSED]
     gate.answer("r1")
     gate.now += 1e6
     gate.tell(Tick())
-    assert refusals(gate.receive(run_start("r4"))) == [NotRun.HOLDER_CLOSED]
+    assert refusals(gate.receive(run_start("r4"))) == [NotRunReason.HOLDER_CLOSED]
     assert gate.started == ["r1", "r2"]
 
 
@@ -283,7 +291,7 @@
     assert gate.started == ["r1", "r2", "r4"]
     gate.now = 1.0
     late = gate.answer("r2")
-    assert refusals(sent(late)) == [NotRun.DEADLINE]
+    assert refusals(sent(late)) == [NotRunReason.DEADLINE]
     assert gate.started == ["r1", "r2", "r4"]
 
 
@@ -304,7 +312,7 @@
     gate.receive(run_start("r2"))
     gate.receive(run_start("r3"))
     assert refusals(gate.receive(run_start("r4", deadline_ms=4000))) == [
-        NotRun.DEADLINE
+        NotRunReason.DEADLINE
     ]
     assert not refusals(gate.receive(run_start("r5", deadline_ms=6000)))
 
--- a/tests/unit/sidecar/test_gate_stateful.py
+++ b/tests/unit/sidecar/test_gate_stateful.py
@@ -31,7 +31,7 @@
     RunHead,
     RunRefused,
 )
-from clementinebend_records.reasons import NotRun
+from clementinebend_records.reasons import NotRunReason
 from clementinebend_sidecar.gate.effects import Effect, Exit, Send, StartRun, StopRun
 from clementinebend_sidecar.gate.events import (
     Broken,
@@ -75,7 +75,7 @@
 verdicts: st.SearchStrategy[Verdict] = st.one_of(
     st.builds(Whole, st.none() | st.integers(0, 150), st.booleans()),
     st.builds(Broken, st.just("cut off"), st.none() | st.just(5), st.booleans()),
-    st.builds(Refused, st.just(NotRun.UNREACHABLE), st.just(0)),
+    st.builds(Refused, st.just(NotRunReason.UNREACHABLE), st.just(0)),
 )
 
 
