--- a/libs/records/src/clementinebend_records/messages.py
+++ b/libs/records/src/clementinebend_records/messages.py
@@ -1,8 +1,9 @@
-"""Messages between the fleet's own processes, over msgpack streams.
+"""Messages between the processes of the fleet, over msgpack streams.
 
 Both sides of a connection send ``Hello`` first. Amounts are in tokens and
 durations in milliseconds. Entries open connections to sidecars and to peer
-entries; either side may send at any time.
+entries; either side may send at any time. A reply repeats the number in
+``question`` of the request.
 """
 
 from typing import Any, NamedTuple
@@ -16,7 +17,7 @@
 
 
 class Hello(NamedTuple):
-    """Names the process at this end of a connection."""
+    """Identifies the process at this end of a connection."""
 
     role: str
     name: str
@@ -28,7 +29,7 @@
 
 
 class Ticket(NamedTuple):
-    """The reservation that pays for a run; it travels with the run."""
+    """The reservation that pays for a run; sent together with the run."""
 
     budget: str
     grant: GrantId
@@ -38,7 +39,7 @@
 
 
 class Receipt(NamedTuple):
-    """What a finished run cost, from the sidecar that executed it."""
+    """Cost of a finished run, issued by the sidecar that executed it."""
 
     key: RequestKey
     run: RunId
@@ -51,7 +52,7 @@
 
 
 class RunStart(NamedTuple):
-    """Asks a sidecar to execute a request once on its endpoint."""
+    """Requests that a sidecar executes a request once on its endpoint."""
 
     run: RunId
     key: RequestKey
@@ -69,7 +70,7 @@
 
 
 class RunAttach(NamedTuple):
-    """Asks for the whole answer of a key's run, from its start."""
+    """Requests the whole answer of the run of ``key``, from its start."""
 
     attachment: RunId
     key: RequestKey
@@ -77,7 +78,7 @@
 
 
 class RunCancel(NamedTuple):
-    """Says that nobody waits for the run any more: stop it and settle."""
+    """Requests to stop and settle a run that no caller waits for."""
 
     run: RunId
 
@@ -90,7 +91,7 @@
 
 
 class RunRefused(NamedTuple):
-    """The request did not run here and will not: ``reason`` is a ``NotRunReason``."""
+    """The request was not run and will not be: ``reason`` is a ``NotRunReason``."""
 
     run: RunId
     reason: str
@@ -106,7 +107,7 @@
 
 
 class RunChunk(NamedTuple):
-    """A piece of the answer; ``sequence`` counts from 0 without a gap."""
+    """A chunk of the answer; ``sequence`` counts from 0 without gaps."""
 
     run: RunId
     sequence: int
@@ -114,7 +115,7 @@
 
 
 class RunEnd(NamedTuple):
-    """The answer is whole after ``chunks`` pieces."""
+    """The answer is complete after ``chunks`` chunks."""
 
     run: RunId
     chunks: int
@@ -122,9 +123,9 @@
 
 
 class RunFailed(NamedTuple):
-    """The run began and did not give a whole answer.
+    """The run started but did not produce a complete answer.
 
-    ``receipt`` says what it cost; without one the outcome is unknown.
+    ``receipt`` contains its cost; without a receipt the outcome is unknown.
     """
 
     run: RunId
@@ -133,13 +134,13 @@
 
 
 class ReceiptsLogged(NamedTuple):
-    """These runs are billed on the log: their receipts need no more keeping."""
+    """These runs are billed on the log: their receipts may be deleted."""
 
     runs: tuple[RunId, ...]
 
 
 class LoadReport(NamedTuple):
-    """Load of an endpoint; ``sequence`` rises by one with each report."""
+    """Load of an endpoint; ``sequence`` increases by one with each report."""
 
     endpoint: str
     incarnation: Incarnation
@@ -153,7 +154,7 @@
 
 
 class CacheEvent(NamedTuple):
-    """Prefix blocks that an engine stored or evicted; numbered by the engine."""
+    """Prefix blocks that an engine stored or evicted; the engine numbers the events."""
 
     endpoint: str
     sequence: int
@@ -162,7 +163,7 @@
 
 
 class CloseNotice(NamedTuple):
-    """A holder is closed at ``offset`` of a ledger stream: refuse it."""
+    """A holder was closed at ``offset`` of a ledger stream and must be refused."""
 
     stream: str
     offset: int
@@ -170,9 +171,9 @@
 
 
 class CloseReply(NamedTuple):
-    """A witness refuses ``holder``; ``bills`` is all it knows under it.
+    """A witness refuses ``holder``; ``receipts`` are all it has for that holder.
 
-    While ``pending`` runs are still executing, the notice is to be repeated.
+    The notice must be repeated while ``pending`` runs are still executing.
     """
 
     holder: Incarnation
@@ -182,7 +183,7 @@
 
 
 class PointerPut(NamedTuple):
-    """Records where a key runs, unless a pointer for it is there already."""
+    """Stores where a key runs, unless a pointer for the key exists."""
 
     question: int
     key: RequestKey
@@ -192,7 +193,7 @@
 
 
 class PointerReply(NamedTuple):
-    """The pointer that stands: the asker's own, or an earlier one."""
+    """The stored pointer: the one requested, or an earlier one."""
 
     question: int
     run: RunId
@@ -201,27 +202,27 @@
 
 
 class PointerDelete(NamedTuple):
-    """The run did not take place: remove its pointer."""
+    """The run was not executed: its pointer must be deleted."""
 
     key: RequestKey
     run: RunId
 
 
 class ReceiptStoreRequest(NamedTuple):
-    """Asks a peer in another availability zone to keep a receipt."""
+    """Requests that a peer in another availability zone stores a receipt."""
 
     question: int
     receipt: Receipt
 
 
 class ReceiptStored(NamedTuple):
-    """The receipt is kept until its holder says that it is logged."""
+    """The receipt is stored until its holder reports that it is logged."""
 
     question: int
 
 
 class TransferRequest(NamedTuple):
-    """Asks a peer for a part of its grants of ``budget``.
+    """Requests a part of a peer's grants of ``budget``.
 
     Less than ``min_amount`` is of no use to the sender.
     """
@@ -233,9 +234,9 @@
 
 
 class TransferReply(NamedTuple):
-    """Passes a part of a grant; the sender has subtracted it already.
+    """Transfers a part of a grant, which the sender has already subtracted.
 
-    ``amount`` 0 means that nothing can be spared.
+    ``amount`` 0 means that the sender has nothing to transfer.
     """
 
     question: int
@@ -248,13 +249,13 @@
 
 
 class ConfigurationRequest(NamedTuple):
-    """Asks a peer for the configuration it has in force."""
+    """Requests the configuration that a peer has in force."""
 
     question: int
 
 
 class ConfigurationReply(NamedTuple):
-    """A configuration checkpoint: revision, and the state's encoding."""
+    """A configuration: its revision and the encoded state."""
 
     question: int
     revision: int
@@ -262,7 +263,7 @@
 
 
 class DrainOrder(NamedTuple):
-    """Tells a process to leave: it takes no new work and ends its own."""
+    """Orders a process to drain: it finishes its work and accepts no more."""
 
     author: str
 
@@ -322,4 +323,4 @@
     ConfigurationReply,
     DrainOrder,
 )
-"""Order is the tag on the wire: add at the end only."""
+"""The index of a type is its tag on the wire: append new types only."""
