--- a/libs/records/src/clementinebend_records/reasons.py
+++ b/libs/records/src/clementinebend_records/reasons.py
@@ -1,10 +1,10 @@
-"""Reasons for which a request was not run, and the outcomes a caller sees."""
+"""Reasons for not running a request, and outcomes of requests for callers."""
 
 from enum import StrEnum
 
 
 class NotRunReason(StrEnum):
-    """Why a request did not run. None of these is ever billed."""
+    """Why a request was not run. Such requests are never billed."""
 
     BUDGET_EXHAUSTED = "budget_exhausted"
     BUDGET_UNAVAILABLE = "budget_unavailable"
@@ -23,7 +23,7 @@
 
 
 class RequestOutcome(StrEnum):
-    """The four answers a caller can get to a request that was well formed."""
+    """The four outcomes of a well-formed request, as reported to the caller."""
 
     WHOLE = "whole_answer"
     NOT_RUN = "not_run"
--- a/libs/records/src/clementinebend_records/streams.py
+++ b/libs/records/src/clementinebend_records/streams.py
@@ -1,15 +1,16 @@
 """Names of the streams on the platform's log.
 
-One place decides which stream a record goes to; nothing else builds a name.
+Only this module builds stream names, so it alone decides which stream a record
+belongs to.
 """
 
 from clementinebend_records.identifiers import RequestKey, shard_of
 
 CONFIGURATION_STREAM = "configuration"
-"""Operators' publications and schema activations."""
+"""Stream of the operators' publications and schema activations."""
 
 FENCING_STREAM = "fencing"
-"""Claims to the right of ordering engines; an offset is a fencing number."""
+"""Stream of claims to control engines; the offset is the fencing number."""
 
 
 def ledger_stream(budget: str, shards: int) -> str:
