--- a/libs/records/src/clementinebend_records/records.py
+++ b/libs/records/src/clementinebend_records/records.py
@@ -1,8 +1,8 @@
-"""Records that are kept on the platform's log.
+"""Records on the platform's log.
 
-State is a pure reduction over these in offset order. Amounts are in tokens.
-Fields may be added at the end of a record, with a default; a field never
-changes its meaning.
+State is a pure reduction over the records in offset order. Amounts are in
+tokens. New fields may be appended to a record with a default; the meaning of a
+field never changes.
 """
 
 from typing import Any, NamedTuple
@@ -16,7 +16,7 @@
 
 
 class TopUp(NamedTuple):
-    """Prepaid tokens for a budget; a repeat of ``top_up`` has no effect."""
+    """Prepaid tokens of a budget; a repeated ``top_up`` id has no effect."""
 
     budget: str
     top_up: str
@@ -25,12 +25,12 @@
 
 
 class Scope(NamedTuple):
-    """Adds witnesses to a holder: all who may spend or keep receipts for it.
+    """Adds witnesses of a holder: processes that spend or store receipts for it.
 
     A holder uses a witness only after reading this record back, and its
     grants are freed only after each witness has acknowledged its close.
-    ``sidecars`` execute its runs; ``peers`` keep its receipts and may be
-    given parts of its grants.
+    ``sidecars`` execute its runs; ``peers`` store its receipts and may receive
+    parts of its grants.
     """
 
     holder: Incarnation
@@ -39,7 +39,7 @@
 
 
 class GrantRequest(NamedTuple):
-    """Asks for ``amount`` of ``budget``; replay accepts it whole or refuses it."""
+    """Requests ``amount`` of ``budget``; replay grants the whole amount or nothing."""
 
     budget: str
     holder: Incarnation
@@ -48,9 +48,9 @@
 
 
 class Bill(NamedTuple):
-    """What one request cost: one of these is kept for each request key.
+    """Cost of one request; one bill is kept for each request key.
 
-    ``held`` marks an amount that could not be proved spent or unspent: it
+    ``held`` marks an amount for which neither use nor non-use could be proved; it
     counts against the budget until an operator resolves it.
     """
 
@@ -62,14 +62,14 @@
 
 
 class Settle(NamedTuple):
-    """Bills runs under grants of one budget, by any witness of those runs."""
+    """Bills for runs under grants of one budget, written by any witness of them."""
 
     budget: str
     bills: tuple[Bill, ...]
 
 
 class GrantReturn(NamedTuple):
-    """Gives back ``amount`` of a grant, by its holder, which keeps the rest."""
+    """Returns ``amount`` of a grant to the budget; the holder keeps the remainder."""
 
     budget: str
     grant: GrantId
@@ -78,9 +78,9 @@
 
 
 class Transfer(NamedTuple):
-    """Tells of a part of a grant that its holder passed to a peer directly.
+    """Records a part of a grant that its holder sent to a peer directly.
 
-    Either side may log it; ``transfer`` then is a grant of the receiver.
+    Either side may write it; ``transfer`` then is a grant of the receiver.
     """
 
     budget: str
@@ -94,8 +94,8 @@
 class HolderClose(NamedTuple):
     """Ends all grants of a holder incarnation in this shard.
 
-    With ``clean`` the holder itself vouches that nothing of it is in flight
-    and all of its bills precede this record, so its remainder is free at once.
+    With ``clean`` the holder itself declares that it has no runs in flight and
+    that all its bills precede this record, so its remainder is freed at once.
     """
 
     holder: Incarnation
@@ -104,11 +104,11 @@
 
 
 class CloseAck(NamedTuple):
-    """A witness refuses the holder from now on; ``Settle`` before it billed all.
+    """A witness refuses the holder from now on and has billed all of its runs.
 
-    ``lost`` says that the witness incarnation is gone with its memory: it
-    refuses for ever, but what it knew is not known, so the remainder stays
-    held until an operator resolves it.
+    The bills are in ``Settle`` records before this one. ``lost`` means that the
+    witness incarnation ended and its memory is lost: it accepts nothing more, but
+    its runs are unknown, so the remainder stays held until an operator resolves it.
     """
 
     holder: Incarnation
@@ -117,7 +117,7 @@
 
 
 class HoldResolve(NamedTuple):
-    """An operator's decision on an amount held: how much of it is charged.
+    """An operator's decision on how much of a held amount is charged.
 
     ``subject`` is a request key or a grant.
     """
@@ -129,7 +129,7 @@
 
 
 class Claim(NamedTuple):
-    """Asks to be the only one to execute a non-idempotent call."""
+    """Requests the exclusive right to execute a non-idempotent call."""
 
     key: RequestKey
     body_digest: str
@@ -138,7 +138,7 @@
 
 
 class ClaimOutcome(NamedTuple):
-    """The answer of a claimed call, so that a retry gets the same one."""
+    """The answer of a claimed call, which retries get as well."""
 
     key: RequestKey
     run: RunId
@@ -148,9 +148,9 @@
 
 
 class ClaimVoid(NamedTuple):
-    """Says that a call did not run and never will under this ``run``.
+    """States that a call was not executed under ``run`` and never will be.
 
-    Without a claim before it, or from the claimant of ``run``, it frees the
+    If no claim precedes it, or if the claimant of ``run`` wrote it, it frees the
     key for a new claim; otherwise replay ignores it.
     """
 
@@ -168,11 +168,11 @@
 
 
 class Publication(NamedTuple):
-    """Changes to the declarations, accepted only on the revision they name.
+    """Changes to the declarations, accepted only if the base revision is in force.
 
-    ``schema_version`` is that of the declarations; ``digest`` is that of the
-    whole document after the changes; ``source`` names the commit they were
-    made from.
+    ``schema_version`` is the version of the declarations. ``digest`` is the digest
+    of the whole document after the changes. ``source`` names the commit that the
+    changes were made from.
     """
 
     base_revision: int
@@ -185,7 +185,7 @@
 
 
 class SchemaActivation(NamedTuple):
-    """Allows publications up to ``schema_version``, on a base revision."""
+    """Allows publications up to ``schema_version`` if the base revision is in force."""
 
     base_revision: int
     schema_version: int
@@ -194,14 +194,14 @@
 
 
 class FencingClaim(NamedTuple):
-    """Takes the right to order an endpoint's engine; its offset is the number."""
+    """Claims the right to control an engine; its offset is the fencing number."""
 
     endpoint: str
     sidecar: Incarnation
 
 
 class Checkpoint(NamedTuple):
-    """State of a stream's replay after ``offset``; equal digests are repeats."""
+    """State of a stream's replay after ``offset``; an equal digest marks a repeat."""
 
     stream: str
     offset: int
@@ -246,15 +246,15 @@
     FencingClaim,
     Checkpoint,
 )
-"""Order is the tag on the wire: add at the end only."""
+"""The index of a type is its tag on the wire: append new types only."""
 
 
 class Batch(NamedTuple):
-    """One append: records of one writer, applied together and once.
+    """One append: records of one writer, applied together and exactly once.
 
-    A writer numbers its batches for a stream from 1 and re-appends the same
-    batch until it reads it back; replay drops a ``sequence`` not above the
-    last one of that writer.
+    A writer numbers its batches for a stream from 1 and appends the same batch
+    again until it reads it back. Replay drops a batch whose ``sequence`` is not
+    above the last one of its writer.
     """
 
     writer: Incarnation
