--- a/tests/unit/declarations/race_oracle.py
+++ b/tests/unit/declarations/race_oracle.py
@@ -1,4 +1,4 @@
-"""A plain loop over the log that tells who wins, and the edits in the race."""
+"""A simple oracle for replay of the configuration, and edits for its tests."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -7,36 +7,36 @@
 
 
 class Pending(NamedTuple):
-    """A batch that its operator has not read back yet."""
+    """A batch that its operator has not read back."""
 
     batch: Batch
     valid: bool
 
 
 class Entry(NamedTuple):
-    """What the oracle needs to know of one append."""
+    """One append, and whether its record is valid."""
 
     batch: Batch
     valid: bool
 
 
-class Oracle(NamedTuple):
-    """Revision, activated schema and winners by a plain loop over the log."""
+class OracleState(NamedTuple):
+    """Expected revision, activated schema and offset of each revision."""
 
     revision: int
     activated: int
     winners: dict[int, int]
 
 
-def oracle(log: list[Entry]) -> Oracle:
-    """Accept each batch once, on its base only, and only if it is valid."""
-    seen: set[tuple[str, int]] = set()
-    state = Oracle(0, 1, {})
+def run_oracle(log: list[Entry]) -> OracleState:
+    """Return the state after accepting each valid batch once, on its base only."""
+    seen_batches: set[tuple[str, int]] = set()
+    state = OracleState(0, 1, {})
     for offset, (batch, valid) in enumerate(log):
-        identity = (batch.writer, batch.sequence)
+        batch_id = (batch.writer, batch.sequence)
         record: Any = batch.records[0]
-        is_new = identity not in seen
-        seen.add(identity)
+        is_new = batch_id not in seen_batches
+        seen_batches.add(batch_id)
         base = getattr(record, "base_revision", None)
         if not (is_new and valid and base == state.revision):
             continue
@@ -44,7 +44,7 @@
         if not isinstance(record, Publication):
             activated = record.schema_version
         revision = state.revision + 1
-        state = Oracle(revision, activated, state.winners | {revision: offset})
+        state = OracleState(revision, activated, state.winners | {revision: offset})
     return state
 
 
--- a/tests/unit/declarations/samples.py
+++ b/tests/unit/declarations/samples.py
@@ -1,4 +1,4 @@
-"""Documents, publications and batches that several tests start from."""
+"""Sample documents, publications and batches for several tests."""
 
 from copy import deepcopy
 from hashlib import sha256
@@ -18,7 +18,7 @@
 
 AUTHOR = "jana"
 WRITER = Incarnation("operator#1")
-WHEN = "2026-11-01T08:00:00Z"
+PUBLISHED_AT = "2026-11-01T08:00:00Z"
 
 DOCUMENT_V1: dict[str, Any] = {
     "teams": {
@@ -50,7 +50,7 @@
 
 
 def document(version: int = FIRST_SCHEMA) -> dict[str, Any]:
-    """Return a whole document that may be changed, in one of the schemas."""
+    """Return a copy of the sample document in one of the schema versions."""
     copied = deepcopy(DOCUMENT_V1)
     if version == FIRST_SCHEMA:
         return copied
@@ -62,25 +62,25 @@
 def publication(
     state: ConfigurationState, changed: dict[str, Any], **fields: Any
 ) -> Publication:
-    """Return a publication that makes the document ``changed`` from a state."""
-    made = Publication(
+    """Return a publication that changes the document of ``state`` to ``changed``."""
+    record = Publication(
         base_revision=configuration_of(state).revision,
         schema_version=changed.get(VERSION_KEY, FIRST_SCHEMA),
         source="4f2a",
         author=AUTHOR,
-        published_at=WHEN,
+        published_at=PUBLISHED_AT,
         changes=diff_documents(document_of(state), changed),
         digest=document_digest(changed),
     )
-    return made._replace(**fields)
+    return record._replace(**fields)
 
 
 def activation(state: ConfigurationState, version: int) -> SchemaActivation:
-    """Return an activation that is made from a state."""
+    """Return an activation of schema ``version`` on the revision of ``state``."""
     revision = configuration_of(state).revision
-    return SchemaActivation(revision, version, AUTHOR, WHEN)
+    return SchemaActivation(revision, version, AUTHOR, PUBLISHED_AT)
 
 
 def batch(sequence: int, *records: Record, writer: Incarnation = WRITER) -> Batch:
-    """Return one append."""
+    """Return a batch of records."""
     return Batch(writer, sequence, records)
--- a/tests/unit/declarations/test_stateful_replay.py
+++ b/tests/unit/declarations/test_stateful_replay.py
@@ -35,7 +35,7 @@
     Entry,
     Pending,
     change_top_up,
-    oracle,
+    run_oracle,
 )
 from tests.unit.declarations.samples import activation, document, publication
 
@@ -214,7 +214,7 @@
     @invariant()
     def winners_are_the_oracles(self) -> None:
         """Compare the winners seen so far with the plain loop's."""
-        expected = oracle(self.log).winners
+        expected = run_oracle(self.log).winners
         assert self.winners.items() <= expected.items()
 
     def teardown(self) -> None:
@@ -222,7 +222,7 @@
         for reader in range(len(READABLE)):
             for _ in self.log:
                 self.read_one(reader)
-        expected = oracle(self.log)
+        expected = run_oracle(self.log)
         for state, max_readable_schema in zip(self.states, READABLE, strict=True):
             configuration = configuration_of(state)
             if max_readable_schema < expected.activated:
