--- a/tests/unit/declarations/test_deltas.py
+++ b/tests/unit/declarations/test_deltas.py
@@ -23,14 +23,14 @@
     st.builds(Change, path=paths, value=values, remove=st.booleans()), max_size=8
 ).map(tuple)
 
-counted = settings(
+example_settings = settings(
     max_examples=20_000 if FUZZ else 400, derandomize=not FUZZ, deadline=None
 )
 
 
-@counted
+@example_settings
 @given(documents, documents)
-def test_difference_applied_gives_the_other_document(
+def test_applying_a_diff_gives_the_other_document(
     old: dict[str, object], new: dict[str, object]
 ) -> None:
     before = document_digest(old)
@@ -40,13 +40,13 @@
     assert bool(edits) is (before != document_digest(new))
 
 
-@counted
+@example_settings
 @given(documents, changes)
-def test_edits_together_do_what_they_do_one_by_one(
+def test_applying_edits_together_equals_applying_them_one_by_one(
     document: dict[str, object], edits: tuple[Change, ...]
 ) -> None:
     one_by_one = reduce(
-        lambda made, edit: apply_changes(made, (edit,)), edits, document
+        lambda changed, edit: apply_changes(changed, (edit,)), edits, document
     )
     assert document_digest(apply_changes(document, edits)) == document_digest(
         one_by_one
