--- a/tests/unit/declarations/test_replay.py
+++ b/tests/unit/declarations/test_replay.py
@@ -1,4 +1,4 @@
-"""Replay of the configuration: one winner, and no way back."""
+"""Replay of the configuration: one accepted record per base revision."""
 
 from typing import Any
 
@@ -36,11 +36,11 @@
     publication,
 )
 
-OTHER = Incarnation("operator#2")
+OTHER_WRITER = Incarnation("operator#2")
 
 
-def published(version: int = 1) -> ConfigurationState:
-    """Return the state in which the sample document is in force."""
+def state_with_document(version: int = 1) -> ConfigurationState:
+    """Return a state with the sample document in force."""
     state = empty_configuration_state()
     if version > 1:
         record = activation(state, version)
@@ -58,7 +58,9 @@
     second = publication(state, document() | {"limits": {}}, author="milan")
     state, outcomes = replay_configuration(state, 4, batch(1, first))
     assert outcomes == (Published(1, 4, AUTHOR),)
-    state, outcomes = replay_configuration(state, 5, batch(1, second, writer=OTHER))
+    state, outcomes = replay_configuration(
+        state, 5, batch(1, second, writer=OTHER_WRITER)
+    )
     assert outcomes == (Conflict(0, 1, 5, "milan"),)
     assert document_of(state) == document()
     results = [(entry.author, entry.result, entry.revision) for entry in state.audit]
@@ -68,8 +70,8 @@
     ]
 
 
-def test_repeats_of_a_batch_and_of_an_offset_do_nothing() -> None:
-    state = published()
+def test_repeated_batch_or_offset_has_no_effect() -> None:
+    state = state_with_document()
     repeated = publication(state, {})
     again, outcomes = replay_configuration(state, state.offset + 1, batch(2, repeated))
     assert outcomes == () and configuration_of(again) == configuration_of(state)
@@ -78,46 +80,46 @@
     assert outcomes == () and same == state
 
 
-def wrong_team(changed: dict[str, Any]) -> None:
+def set_unknown_team(changed: dict[str, Any]) -> None:
     changed["budgets"]["kosice-lookups"]["team"] = "nobody"
 
 
-def top_up_changed(changed: dict[str, Any]) -> None:
+def change_top_up(changed: dict[str, Any]) -> None:
     changed["budgets"]["kosice-lookups"]["top_ups"][0]["tokens"] = 6_000
 
 
-def top_up_gone(changed: dict[str, Any]) -> None:
+def remove_top_up(changed: dict[str, Any]) -> None:
     changed["budgets"]["kosice-lookups"]["top_ups"] = []
 
 
-def budget_gone(changed: dict[str, Any]) -> None:
+def remove_budget(changed: dict[str, Any]) -> None:
     del changed["budgets"]["kosice-lookups"]
 
 
-def other_schema(changed: dict[str, Any]) -> None:
+def set_schema_2(changed: dict[str, Any]) -> None:
     changed["schema_version"] = 2
 
 
 @pytest.mark.parametrize(
     ("edit", "fields", "reason"),
     [
-        (wrong_team, {}, "budgets.kosice-lookups.team is 'nobody'"),
-        (top_up_changed, {}, "the top-up 'q4' of the budget 'kosice-lookups'"),
-        (top_up_gone, {}, "it may neither change nor go"),
-        (budget_gone, {}, "it may neither change nor go"),
+        (set_unknown_team, {}, "budgets.kosice-lookups.team is 'nobody'"),
+        (change_top_up, {}, "the top-up 'q4' of the budget 'kosice-lookups'"),
+        (remove_top_up, {}, "it may neither change nor go"),
+        (remove_budget, {}, "it may neither change nor go"),
         (None, {"digest": "0" * 24}, "does not give the digest"),
-        (other_schema, {}, "schema 2 is not activated"),
-        (other_schema, {"schema_version": 1}, "document is of schema 2"),
+        (set_schema_2, {}, "schema 2 is not activated"),
+        (set_schema_2, {"schema_version": 1}, "document is of schema 2"),
         (None, {"schema_version": 0}, "schema 0 is not activated"),
         (None, {"changes": (Change(("teams",), b"\xff"),)}, "not every node"),
         (None, {"changes": (Change(("a",) * 9_999, 1),)}, "not every node"),
         (None, {"changes": (Change(("\ud800",), 1),)}, "not every node"),
     ],
 )
-def test_bad_publication_is_rejected_and_changes_nothing(
+def test_invalid_publication_is_rejected_without_changes(
     edit: Any, fields: dict[str, Any], reason: str
 ) -> None:
-    state = published()
+    state = state_with_document()
     changed = document()
     if edit is not None:
         edit(changed)
@@ -130,16 +132,16 @@
 
 
 @pytest.mark.parametrize("version", [1, 3, 9])
-def test_activation_goes_up_one_schema_at_a_time(version: int) -> None:
-    state = published()
+def test_activation_must_raise_the_schema_by_one(version: int) -> None:
+    state = state_with_document()
     record = activation(state, version)
     after, outcomes = replay_configuration(state, 9, batch(3, record))
     assert isinstance(outcomes[0], Rejected)
     assert configuration_of(after) == configuration_of(state)
 
 
-def test_activation_races_with_publications_on_the_same_base() -> None:
-    state = published()
+def test_publication_on_the_base_of_an_activation_conflicts() -> None:
+    state = state_with_document()
     late = publication(state, document() | {"limits": {}})
     state, outcomes = replay_configuration(state, 9, batch(3, activation(state, 2)))
     assert outcomes == (Activated(2, 2, 9, AUTHOR),)
@@ -150,20 +152,20 @@
     assert outcomes == (Published(3, 11, AUTHOR),)
 
 
-def test_reader_of_the_first_schema_is_told_to_leave_and_stands_still() -> None:
-    before = published()
+def test_node_stops_at_an_unsupported_schema() -> None:
+    before = state_with_document()
     record = batch(3, activation(before, 2))
     stopped, outcomes = replay_configuration(before, 9, record, max_readable_schema=1)
     assert outcomes[-1] == UnsupportedSchema(2)
-    going_on, _ = replay_configuration(before, 9, record)
-    assert configuration_digest(stopped) == configuration_digest(going_on)
+    continued, _ = replay_configuration(before, 9, record)
+    assert configuration_digest(stopped) == configuration_digest(continued)
     later = batch(4, publication(stopped, document(2)))
     after, outcomes = replay_configuration(stopped, 10, later, max_readable_schema=1)
     assert after == stopped and outcomes == (UnsupportedSchema(2),)
 
 
-def test_activation_ends_its_batch_for_readers_of_every_schema() -> None:
-    before = published()
+def test_activation_ends_its_batch_on_all_nodes() -> None:
+    before = state_with_document()
     record = activation(before, 2)
     advanced, _ = replay_configuration(before, 9, batch(3, record))
     both = batch(3, record, publication(advanced, document(2)))
@@ -174,7 +176,7 @@
 
 
 def test_checkpoint_restores_the_whole_state() -> None:
-    state = published(2)
+    state = state_with_document(2)
     restored = restore_configuration(configuration_checkpoint(state))
     assert restored == state._replace(digests={})
     more = batch(3, publication(state, document(2) | {"limits": {}}))
@@ -183,8 +185,8 @@
     assert configuration_digest(ours) == configuration_digest(theirs)
 
 
-def test_older_checkpoint_never_lowers_a_state() -> None:
-    older = published()
+def test_older_checkpoint_does_not_replace_a_newer_state() -> None:
+    older = state_with_document()
     record = publication(older, document() | {"limits": {}})
     newer, _ = replay_configuration(older, 9, batch(3, record))
     checkpoint = configuration_checkpoint(older)
@@ -194,7 +196,7 @@
 
 
 def damaged_checkpoints() -> list[Checkpoint]:
-    whole = configuration_checkpoint(published())
+    whole = configuration_checkpoint(state_with_document())
     return [
         whole._replace(state=whole.state.replace(b"5000", b"9000")),
         whole._replace(state=whole.state.replace(b'"revision":1', b'"revision":7')),
@@ -207,22 +209,22 @@
 
 
 @pytest.mark.parametrize("checkpoint", damaged_checkpoints())
-def test_damaged_checkpoint_is_not_used(checkpoint: Checkpoint) -> None:
+def test_damaged_checkpoint_raises(checkpoint: Checkpoint) -> None:
     with pytest.raises(CheckpointError, match="checkpoint at"):
         restore_configuration(checkpoint)
 
 
-def test_checkpoint_that_differs_from_replay_is_told() -> None:
-    state = published()
-    true = configuration_checkpoint(state)
-    state, outcomes = replay_configuration(state, 8, batch(3, true))
+def test_checkpoint_that_differs_from_replay_is_reported() -> None:
+    state = state_with_document()
+    matching = configuration_checkpoint(state)
+    state, outcomes = replay_configuration(state, 8, batch(3, matching))
     assert outcomes == ()
-    false = true._replace(digest="0" * 24)
-    _, outcomes = replay_configuration(state, 9, batch(4, false))
-    assert outcomes == (Diverged(true.offset, true.digest, false.digest),)
+    differing = matching._replace(digest="0" * 24)
+    _, outcomes = replay_configuration(state, 9, batch(4, differing))
+    assert outcomes == (Diverged(matching.offset, matching.digest, differing.digest),)
 
 
-def test_state_stays_bounded() -> None:
+def test_state_size_is_bounded() -> None:
     state = empty_configuration_state()
     for number in range(MAX_WRITERS + MAX_AUDIT_ENTRIES):
         writer = Incarnation(f"operator#{number}")
@@ -233,8 +235,8 @@
     assert len(configuration_checkpoint(state).state) < 200_000
 
 
-def with_earlier_names(changed: dict[str, Any]) -> dict[str, Any]:
-    """Add parts whose names stand before those that are there already."""
+def add_earlier_names(changed: dict[str, Any]) -> dict[str, Any]:
+    """Add parts whose names sort before the existing ones."""
     budget = changed["budgets"]["kosice-lookups"]
     changed["budgets"]["a-budget"] = budget | {
         "services": ["booking"],
@@ -245,31 +247,31 @@
     return changed
 
 
-def one_address(changed: dict[str, Any]) -> None:
+def set_same_port(changed: dict[str, Any]) -> None:
     for endpoint in changed["endpoints"].values():
         endpoint["port"] = 1
 
 
-def wrong_shapes(changed: dict[str, Any]) -> None:
+def set_invalid_ports(changed: dict[str, Any]) -> None:
     for endpoint in changed["endpoints"].values():
         endpoint["port"] = "none"
 
 
-def all_budgets_gone(changed: dict[str, Any]) -> None:
+def remove_all_budgets(changed: dict[str, Any]) -> None:
     del changed["budgets"]
 
 
-@pytest.mark.parametrize("edit", [one_address, wrong_shapes, all_budgets_gone])
-def test_restored_reader_tells_faults_in_the_same_words(edit: Any) -> None:
-    state = published()
-    more = publication(state, with_earlier_names(document()))
+@pytest.mark.parametrize("edit", [set_same_port, set_invalid_ports, remove_all_budgets])
+def test_restored_node_rejects_with_the_same_reason(edit: Any) -> None:
+    state = state_with_document()
+    more = publication(state, add_earlier_names(document()))
     state, _ = replay_configuration(state, 8, batch(3, more))
     restored = restore_configuration(configuration_checkpoint(state))
-    changed = with_earlier_names(document())
+    changed = add_earlier_names(document())
     edit(changed)
     record = batch(4, publication(state, changed))
-    ours, told = replay_configuration(state, 9, record)
+    ours, original_outcomes = replay_configuration(state, 9, record)
     theirs, _ = replay_configuration(restored, 9, record)
-    assert isinstance(told[0], Rejected)
+    assert isinstance(original_outcomes[0], Rejected)
     assert ours.audit[-1] == theirs.audit[-1]
     assert configuration_digest(ours) == configuration_digest(theirs)
