--- a/tests/unit/declarations/test_stateful_replay.py
+++ b/tests/unit/declarations/test_stateful_replay.py
@@ -1,4 +1,4 @@
-"""Racing operators over a log that loses answers, against a simple oracle."""
+"""Concurrent operators on a log that loses answers, compared with an oracle."""
 
 from copy import deepcopy
 from os import environ
@@ -40,31 +40,31 @@
 from tests.unit.declarations.samples import activation, document, publication
 
 FUZZ = environ.get("CLEMENTINEBEND_FUZZ") == "1"
-READABLE = (2, 2, 2, 1, 1)
-"""The newest schema that each reader can read; the first are operators'."""
+READABLE_SCHEMAS = (2, 2, 2, 1, 1)
+"""The newest schema that each reader can read; the operators come first."""
 
 OPERATORS = 3
 STEPS = 50
 
 operators = st.integers(0, OPERATORS - 1)
-readers = st.integers(0, len(READABLE) - 1)
+readers = st.integers(0, len(READABLE_SCHEMAS) - 1)
 
 
 class Race(RuleBasedStateMachine):
-    """Operators publish from what they have read; readers read at will."""
+    """Operators publish on the state they have read; readers read in any order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.log: list[Entry] = []
         self.states: list[ConfigurationState] = [
-            empty_configuration_state() for _ in READABLE
+            empty_configuration_state() for _ in READABLE_SCHEMAS
         ]
-        self.lives = [0] * OPERATORS
+        self.restarts = [0] * OPERATORS
         self.sequences = [0] * OPERATORS
         self.pending: list[Pending | None] = [None] * OPERATORS
         self.digests: dict[int, str] = {}
         self.winners: dict[int, int] = {}
-        self.numbers = 0
+        self.last_number = 0
 
     def append(self, entry: Entry) -> None:
         decoded = decode_batch(encode_batch(entry.batch))
@@ -72,7 +72,7 @@
         self.log.append(Entry(decoded, entry.valid))
 
     def post(self, operator: int, record: Record, valid: bool, arrives: bool) -> None:
-        writer = Incarnation(f"operator-{operator}#{self.lives[operator]}")
+        writer = Incarnation(f"operator-{operator}#{self.restarts[operator]}")
         self.sequences[operator] += 1
         batch = Batch(writer, self.sequences[operator], (record,))
         self.pending[operator] = Pending(batch, valid)
@@ -89,14 +89,14 @@
     def publish(
         self, operator: int, edit: Any, upgrade: bool, wrong_digest: int, arrives: bool
     ) -> None:
-        """Publish an edit; the answer, and perhaps the append, are lost."""
+        """Publish an edit; the answer is lost, and perhaps the append too."""
         if self.pending[operator]:
             return
         state = self.states[operator]
         changed = deepcopy(document_of(state)) or document()
         activated = configuration_of(state).activated_schema
-        self.numbers += 1
-        valid = edit(changed, self.numbers)
+        self.last_number += 1
+        valid = edit(changed, self.last_number)
         is_first = not document_of(state)
         if is_first and edit is change_top_up:
             valid = True
@@ -110,7 +110,7 @@
 
     @rule(operator=operators, skip=st.integers(0, 3), arrives=st.booleans())
     def activate(self, operator: int, skip: int, arrives: bool) -> None:
-        """Raise the schema, sometimes to one that cannot follow."""
+        """Activate a schema, sometimes one that is not the next."""
         if self.pending[operator]:
             return
         state = self.states[operator]
@@ -121,27 +121,27 @@
 
     @rule(operator=operators)
     def append_again(self, operator: int) -> None:
-        """Append the same batch again, since no answer came."""
+        """Append the same batch again after a lost answer."""
         pending = self.pending[operator]
         if pending:
             self.append(Entry(pending.batch, pending.valid))
 
     @rule(operator=operators)
     def restart(self, operator: int) -> None:
-        """Lose the operator's shell; its batch may turn up all the same."""
+        """Restart an operator; its pending batch may already be on the log."""
         self.pending[operator] = None
-        self.lives[operator] += 1
+        self.restarts[operator] += 1
         self.sequences[operator] = 0
 
     @rule(position=st.integers(0, 200))
     @precondition(lambda self: self.log)
     def duplicate(self, position: int) -> None:
-        """Let the log deliver an older append once more."""
+        """Append an earlier entry of the log again."""
         self.log.append(self.log[position % len(self.log)])
 
     @rule(reader=readers, count=st.integers(1, 8))
     def read(self, reader: int, count: int) -> None:
-        """Read on, and look at every outcome."""
+        """Read further batches and check all outcomes."""
         for _ in range(count):
             self.read_one(reader)
 
@@ -151,7 +151,9 @@
         if offset >= len(self.log):
             return
         batch = self.log[offset].batch
-        after, outcomes = replay_configuration(before, offset, batch, READABLE[reader])
+        after, outcomes = replay_configuration(
+            before, offset, batch, READABLE_SCHEMAS[reader]
+        )
         old, new = configuration_of(before), configuration_of(after)
         assert old.revision <= new.revision <= old.revision + 1
         for outcome in outcomes:
@@ -160,9 +162,9 @@
             digest = configuration_digest(after)
             assert self.digests.setdefault(offset, digest) == digest
         else:
-            assert after == before and READABLE[reader] < new.activated_schema
+            assert after == before and READABLE_SCHEMAS[reader] < new.activated_schema
         self.states[reader] = after
-        self.take_read_back(reader)
+        self.clear_confirmed_batch(reader)
 
     def check_outcome(self, outcome: Any, after: ConfigurationState) -> None:
         assert not isinstance(outcome, Diverged)
@@ -177,7 +179,7 @@
         if isinstance(outcome, Conflict | Rejected):
             assert outcome.offset not in self.winners.values()
 
-    def take_read_back(self, reader: int) -> None:
+    def clear_confirmed_batch(self, reader: int) -> None:
         pending = self.pending[reader] if reader < OPERATORS else None
         if pending:
             last = self.states[reader].sequences.get(pending.batch.writer, 0)
@@ -186,18 +188,18 @@
 
     @rule(source=readers, reader=readers)
     def restore(self, source: int, reader: int) -> None:
-        """Hand a checkpoint to another reader, which may be ahead of it."""
+        """Restore a checkpoint on another reader, which may be ahead of it."""
         checkpoint = configuration_checkpoint(self.states[source])
         before = self.states[reader]
         after = restore_configuration(checkpoint, before)
         assert after.offset == max(before.offset, checkpoint.offset)
         assert configuration_of(after).revision >= configuration_of(before).revision
         self.states[reader] = after
-        self.take_read_back(reader)
+        self.clear_confirmed_batch(reader)
 
     @rule(source=readers, reader=readers)
     def start_cold(self, source: int, reader: int) -> None:
-        """Replace a reader by one that has the checkpoint alone."""
+        """Replace a reader by one that has only the checkpoint."""
         if source == reader or self.states[source].offset < self.states[reader].offset:
             return
         checkpoint = configuration_checkpoint(self.states[source])
@@ -205,25 +207,27 @@
 
     @rule(reader=readers)
     def append_checkpoint(self, reader: int) -> None:
-        """Append a checkpoint, which every reader compares with its own."""
+        """Append a checkpoint, which every reader compares with its own state."""
         checkpoint = configuration_checkpoint(self.states[reader])
-        self.numbers += 1
-        writer = Incarnation(f"node-{reader}#{self.numbers}")
+        self.last_number += 1
+        writer = Incarnation(f"node-{reader}#{self.last_number}")
         self.append(Entry(Batch(writer, 1, (checkpoint,)), False))
 
     @invariant()
-    def winners_are_the_oracles(self) -> None:
-        """Compare the winners seen so far with the plain loop's."""
+    def winners_match_the_oracle(self) -> None:
+        """Compare the accepted offsets seen so far with those of the oracle."""
         expected = run_oracle(self.log).winners
         assert self.winners.items() <= expected.items()
 
     def teardown(self) -> None:
-        """Let everyone read to the end, and compare with the oracle."""
-        for reader in range(len(READABLE)):
+        """Let all readers read to the end and compare them with the oracle."""
+        for reader in range(len(READABLE_SCHEMAS)):
             for _ in self.log:
                 self.read_one(reader)
         expected = run_oracle(self.log)
-        for state, max_readable_schema in zip(self.states, READABLE, strict=True):
+        for state, max_readable_schema in zip(
+            self.states, READABLE_SCHEMAS, strict=True
+        ):
             configuration = configuration_of(state)
             if max_readable_schema < expected.activated:
                 assert configuration.activated_schema > max_readable_schema
