--- a/tests/unit/records/test_mapping.py
+++ b/tests/unit/records/test_mapping.py
@@ -1,4 +1,4 @@
-"""Conversion of plain mappings to typed values, with every problem named."""
+"""Conversion of mappings to typed values, with all problems reported."""
 
 from enum import StrEnum
 from typing import Any, NamedTuple
@@ -47,7 +47,7 @@
 )
 
 
-def test_all_problems_are_reported_with_path_and_what_is_allowed() -> None:
+def test_all_problems_are_reported_with_path_and_allowed_values() -> None:
     document = {
         "inner": {"name": 3, "sise": 1},
         "ratio": True,
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("value", [None, [], "text", 1])
-def test_a_document_that_is_no_mapping(value: object) -> None:
+def test_value_that_is_not_a_mapping_is_a_problem(value: object) -> None:
     problems = convert_mapping(value, Inner)
     assert not isinstance(problems, Inner)
     assert problems[0].path == ()
@@ -98,7 +98,7 @@
 
 @settings(derandomize=True)
 @given(TREES)
-def test_any_document_gives_a_value_or_problems(document: object) -> None:
+def test_conversion_returns_a_value_or_problems(document: object) -> None:
     converted = convert_mapping(document, Outer)
     problems = not isinstance(converted, Outer)
     assert not problems or all(isinstance(item, MappingProblem) for item in converted)
