--- a/libs/declarations/src/clementinebend_declarations/checks.py
+++ b/libs/declarations/src/clementinebend_declarations/checks.py
@@ -1,7 +1,8 @@
-"""Checks of declarations that are well formed: bounds and cross references.
+"""Validation of well-formed declarations: value ranges and cross references.
 
-Replay rejects a publication by these rules, so every node must have the same
-ones: a rule may be added or changed only with a new schema version.
+Replay rejects publications by these rules, so all nodes must apply the same
+ones: a rule may be added or changed only with a new schema version. The texts
+of errors are stored in the audit trail, which the digest of the state covers.
 """
 
 from collections.abc import Iterator
@@ -11,7 +12,7 @@
     check_name,
     check_range,
     check_unique,
-    fault,
+    declaration_error,
 )
 from clementinebend_declarations.check_services import check_endpoints, check_services
 from clementinebend_declarations.exceptions import DeclarationError
@@ -30,14 +31,14 @@
 
 
 def check_declarations(declarations: Declarations) -> tuple[DeclarationError, ...]:
-    """Return all errors in declarations whose shape is right."""
+    """Return all errors in declarations that match the schema."""
     return tuple(
         chain(
             _check_teams(declarations),
             _check_budgets(declarations),
             check_services(declarations),
             check_endpoints(declarations),
-            _check_rules(declarations),
+            _check_routing_rules(declarations),
             _check_limits(declarations.limits),
         )
     )
@@ -63,38 +64,42 @@
 def _check_key_digest(path: tuple[str, ...], digest: str) -> Errors:
     if len(digest) != KEY_DIGEST_LENGTH or not HEX_DIGITS.issuperset(digest):
         allowed = f"the SHA-256 of the key: {KEY_DIGEST_LENGTH} digits 0-9 and a-f"
-        yield fault(path, f"is {digest!r}", allowed)
+        yield declaration_error(path, f"is {digest!r}", allowed)
 
 
 def _check_budgets(declarations: Declarations) -> Errors:
     for name, budget in declarations.budgets.items():
         path = ("budgets", name)
         yield from check_name(path)
-        yield from _check_payers(path, budget, declarations)
+        yield from _check_budget_references(path, budget, declarations)
         for index, top_up in enumerate(budget.top_ups):
-            place = (*path, "top_ups", str(index))
-            yield from check_name((*place, "id"), top_up.id)
-            tokens = (*place, "tokens")
+            item_path = (*path, "top_ups", str(index))
+            yield from check_name((*item_path, "id"), top_up.id)
+            tokens = (*item_path, "tokens")
             yield from check_range(tokens, top_up.tokens, 1, MAX_TOP_UP_TOKENS)
     yield from check_unique(_top_up_ids(declarations), "an id used once only")
     yield from check_unique(
-        _paid_services(declarations), "one budget of a team for each service"
+        _budgeted_services(declarations), "one budget of a team for each service"
     )
 
 
-def _check_payers(
+def _check_budget_references(
     path: tuple[str, ...], budget: Budget, declarations: Declarations
 ) -> Errors:
     if budget.team not in declarations.teams:
-        place = (*path, "team")
-        yield fault(place, f"is {budget.team!r}", "the name of a declared team")
+        item_path = (*path, "team")
+        yield declaration_error(
+            item_path, f"is {budget.team!r}", "the name of a declared team"
+        )
     if not budget.services:
-        place = (*path, "services")
-        yield fault(place, "is empty", "at least one declared service")
+        item_path = (*path, "services")
+        yield declaration_error(item_path, "is empty", "at least one declared service")
     for index, service in enumerate(budget.services):
         if service not in declarations.services:
-            place = (*path, "services", str(index))
-            yield fault(place, f"is {service!r}", "the name of a declared service")
+            item_path = (*path, "services", str(index))
+            yield declaration_error(
+                item_path, f"is {service!r}", "the name of a declared service"
+            )
 
 
 def _top_up_ids(
@@ -105,7 +110,7 @@
             yield ("budgets", name, "top_ups", str(index), "id"), top_up.id
 
 
-def _paid_services(
+def _budgeted_services(
     declarations: Declarations,
 ) -> Iterator[tuple[tuple[str, ...], tuple[str, str]]]:
     for name, budget in declarations.budgets.items():
@@ -114,19 +119,19 @@
             yield path, (budget.team, service)
 
 
-def _check_rules(declarations: Declarations) -> Errors:
+def _check_routing_rules(declarations: Declarations) -> Errors:
     for index, rule in enumerate(declarations.routing_rules):
         path = ("routing_rules", str(index))
         if rule.team != ANY_TEAM and rule.team not in declarations.teams:
             allowed = f"a declared team, or {ANY_TEAM!r} for any"
-            yield fault((*path, "team"), f"is {rule.team!r}", allowed)
+            yield declaration_error((*path, "team"), f"is {rule.team!r}", allowed)
         service = declarations.services.get(rule.service)
         if service is None:
             allowed = "the name of a declared service"
-            yield fault((*path, "service"), f"is {rule.service!r}", allowed)
+            yield declaration_error((*path, "service"), f"is {rule.service!r}", allowed)
         elif rule.model not in service.models:
             allowed = f"a model of the service {rule.service!r}"
-            yield fault((*path, "model"), f"is {rule.model!r}", allowed)
+            yield declaration_error((*path, "model"), f"is {rule.model!r}", allowed)
     yield from check_unique(
         (
             (("routing_rules", str(index)), (rule.team, rule.model))
--- a/libs/declarations/src/clementinebend_declarations/deltas.py
+++ b/libs/declarations/src/clementinebend_declarations/deltas.py
@@ -1,47 +1,50 @@
-"""Differences between documents, as edits of key paths.
+"""Diffs between documents, as edits of key paths.
 
-Mappings are compared key by key; every other value, lists among them, is
-replaced whole. Applying is total: any edit has one result on any document,
-and the digest of a publication tells whether it was the one meant.
+Mappings are compared key by key; any other value, lists included, is replaced
+as a whole. Applying edits never fails: each edit has exactly one result on any
+document, and the digest in a publication shows whether the result is the
+intended document.
 """
 
 from collections.abc import Iterator, Mapping
 from itertools import dropwhile, groupby
 from typing import Any
 
-from clementinebend_declarations.plain import canonical, canonical_digest
+from clementinebend_declarations.plain_values import canonical_digest, canonical_json
 from clementinebend_records.records import Change
 
 Document = dict[str, Any]
 
 
 def document_digest(document: Mapping[str, Any]) -> str:
-    """Return the digest of a document, the same whatever its key order."""
+    """Return the digest of a document; it does not depend on the key order."""
     return canonical_digest(document)
 
 
-def difference(old: Mapping[str, Any], new: Mapping[str, Any]) -> tuple[Change, ...]:
+def diff_documents(
+    old: Mapping[str, Any], new: Mapping[str, Any]
+) -> tuple[Change, ...]:
     """Return the edits that turn ``old`` into ``new``, sorted by path."""
-    return tuple(_differences(old, new, ()))
+    return tuple(_iter_changes(old, new, ()))
 
 
 def apply_changes(document: Mapping[str, Any], changes: tuple[Change, ...]) -> Document:
-    """Return a document with the edits made; the one handed in stays as is.
+    """Return a copy of a document with the edits applied.
 
-    Parts that no edit touches are the same objects in both.
+    Parts that no edit changes are the same objects in both documents.
     """
     changed = dict(document)
-    for key, edits in _by_first_key(changes).items():
-        for is_here, run in groupby(edits, key=_ends_here):
-            if is_here:
-                _apply_here(changed, key, tuple(run))
+    for key, edits in _group_by_first_key(changes).items():
+        for is_at_key, group in groupby(edits, key=_has_single_key):
+            if is_at_key:
+                _apply_at_key(changed, key, tuple(group))
             else:
-                _apply_below(changed, key, tuple(run))
+                _apply_nested(changed, key, tuple(group))
     return changed
 
 
-def _by_first_key(changes: tuple[Change, ...]) -> dict[str, list[Change]]:
-    """Group edits by where they begin; those of different keys commute."""
+def _group_by_first_key(changes: tuple[Change, ...]) -> dict[str, list[Change]]:
+    """Group edits by their first key; edits of different keys commute."""
     groups: dict[str, list[Change]] = {}
     for change in changes:
         if change.path:
@@ -49,11 +52,11 @@
     return groups
 
 
-def _ends_here(change: Change) -> bool:
+def _has_single_key(change: Change) -> bool:
     return len(change.path) == 1
 
 
-def _apply_here(document: Document, key: str, edits: tuple[Change, ...]) -> None:
+def _apply_at_key(document: Document, key: str, edits: tuple[Change, ...]) -> None:
     last = edits[-1]
     if last.remove:
         document.pop(key, None)
@@ -61,36 +64,37 @@
         document[key] = last.value
 
 
-def _apply_below(document: Document, key: str, edits: tuple[Change, ...]) -> None:
+def _apply_nested(document: Document, key: str, edits: tuple[Change, ...]) -> None:
     inner = document.get(key)
-    below = tuple(change._replace(path=change.path[1:]) for change in edits)
+    nested = tuple(change._replace(path=change.path[1:]) for change in edits)
     if isinstance(inner, dict):
-        document[key] = apply_changes(inner, below)
+        document[key] = apply_changes(inner, nested)
         return
-    added = tuple(dropwhile(lambda change: change.remove, below))
+    added = tuple(dropwhile(lambda change: change.remove, nested))
     if added:
         document[key] = apply_changes({}, added)
 
 
-def _differences(
+def _iter_changes(
     old: Mapping[str, Any], new: Mapping[str, Any], prefix: tuple[str, ...]
 ) -> Iterator[Change]:
     for key in sorted(old.keys() | new.keys()):
         path = (*prefix, key)
         if key not in new:
             yield Change(path, None, remove=True)
-        elif _have_parts(old, new, key, is_section=not prefix):
-            yield from _differences(old.get(key, {}), new[key], path)
-        elif key not in old or canonical(old[key]) != canonical(new[key]):
+        elif _are_compared_by_key(old, new, key, is_section=not prefix):
+            yield from _iter_changes(old.get(key, {}), new[key], path)
+        elif key not in old or canonical_json(old[key]) != canonical_json(new[key]):
             yield Change(path, new[key])
 
 
-def _have_parts(
+def _are_compared_by_key(
     old: Mapping[str, Any], new: Mapping[str, Any], key: str, is_section: bool
 ) -> bool:
-    """Return whether to compare the values under ``key`` part by part.
+    """Return whether to compare the values under ``key`` key by key.
 
-    A new section counts as an empty one before, so that edits name its parts.
+    A new section is compared with an empty one, so that each of its parts gets
+    an edit of its own.
     """
     if not isinstance(new[key], Mapping):
         return False
--- a/libs/declarations/src/clementinebend_declarations/documents.py
+++ b/libs/declarations/src/clementinebend_declarations/documents.py
@@ -1,4 +1,4 @@
-"""Documents as operators write them: loading YAML files, and checking."""
+"""Loading and validation of documents, as operators write them in YAML files."""
 
 from collections.abc import Iterable, Mapping
 from pathlib import Path
@@ -9,30 +9,34 @@
 from clementinebend_declarations.checks import check_declarations
 from clementinebend_declarations.deltas import (
     apply_changes,
-    difference,
+    diff_documents,
     document_digest,
 )
 from clementinebend_declarations.exceptions import DeclarationError
 from clementinebend_declarations.merging import (
     LoadedDocument,
-    file_of,
+    find_file,
     merge_documents,
 )
 from clementinebend_declarations.models import Declarations
-from clementinebend_declarations.plain import MAX_DEPTH, is_plain
-from clementinebend_declarations.schemas import Errors, read_changed, read_declarations
+from clementinebend_declarations.plain_values import MAX_DEPTH, is_plain_value
+from clementinebend_declarations.schemas import (
+    Errors,
+    read_changed_declarations,
+    read_declarations,
+)
 from clementinebend_declarations.yaml_files import read_yaml
 
 __all__ = [
     "LoadedDocument",
     "apply_changes",
-    "check_changed",
+    "check_changed_document",
     "check_document",
-    "difference",
+    "diff_documents",
     "document_digest",
     "load_document",
     "load_files",
-    "locate",
+    "add_file_names",
 ]
 
 Paths = str | Path | Iterable[str | Path]
@@ -41,7 +45,7 @@
 def load_document(paths: Paths) -> Result[dict[str, Any], DeclarationError]:
     """Return the document in a YAML file, or in a directory of them.
 
-    Gives the first of the errors; ``load_files`` gives them all.
+    Only the first error is returned; ``load_files`` returns all of them.
     """
     match load_files(paths):
         case Result(tag="error", error=errors):
@@ -52,7 +56,7 @@
 
 
 def load_files(paths: Paths) -> Result[LoadedDocument, Errors]:
-    """Return the merged document and where its parts stand, or all errors."""
+    """Return the merged document and the file of each part, or all errors."""
     files = _yaml_files(paths)
     if not files:
         problem = "has no *.yaml file"
@@ -69,37 +73,39 @@
 
 def check_document(document: Mapping[str, Any]) -> Result[Declarations, Errors]:
     """Return the declarations in a document, or all errors found in it."""
-    if not is_plain(document):
-        problem = "holds a value that not every node reads alike"
+    if not is_plain_value(document):
+        problem = "contains a value that some codecs cannot represent"
         allowed = (
-            f"texts, finite numbers up to 64 bits, lists and mappings with text keys, "
-            f"nested at most {MAX_DEPTH} deep"
+            f"strings, finite numbers up to 64 bits, lists and mappings with string "
+            f"keys, nested at most {MAX_DEPTH} levels deep"
         )
         return Error((DeclarationError((), problem, allowed),))
-    return _checked(read_declarations(dict(document)))
+    return _validated(read_declarations(dict(document)))
 
 
-def check_changed(
+def check_changed_document(
     document: Mapping[str, Any], known: Mapping[str, Any], declarations: Declarations
 ) -> Result[Declarations, Errors]:
     """Check a plain document that was made by editing ``known``.
 
-    Gives what ``check_document`` gives, in less time; ``declarations`` are
-    those in ``known``, which was checked.
+    Returns the same as ``check_document`` in less time. ``declarations`` are
+    those of ``known``, which has passed the checks before.
     """
-    return _checked(read_changed(dict(document), dict(known), declarations))
+    return _validated(
+        read_changed_declarations(dict(document), dict(known), declarations)
+    )
 
 
-def _checked(read: Result[Declarations, Errors]) -> Result[Declarations, Errors]:
+def _validated(read: Result[Declarations, Errors]) -> Result[Declarations, Errors]:
     if read.is_error():
         return read
     errors = check_declarations(read.ok)
     return Error(errors) if errors else read
 
 
-def locate(errors: Errors, files: Mapping[tuple[str, ...], str]) -> Errors:
-    """Return errors with the file in which the faulty part stands."""
-    return tuple(error._replace(file=file_of(error.path, files)) for error in errors)
+def add_file_names(errors: Errors, files: Mapping[tuple[str, ...], str]) -> Errors:
+    """Return errors with the file that contains the invalid part."""
+    return tuple(error._replace(file=find_file(error.path, files)) for error in errors)
 
 
 def _yaml_files(paths: Paths) -> list[Path]:
--- a/libs/declarations/src/clementinebend_declarations/schemas.py
+++ b/libs/declarations/src/clementinebend_declarations/schemas.py
@@ -1,4 +1,4 @@
-"""Reading a document of any schema version as the newest declarations."""
+"""Reading of documents of all schema versions as declarations of the newest."""
 
 from typing import Any, TypeVar, cast
 
@@ -12,17 +12,17 @@
 
 VERSION_KEY = "schema_version"
 FIRST_SCHEMA = 1
-"""Schema of a document that does not name one."""
+"""The default schema version of a document."""
 
 T = TypeVar("T")
 NAMED_SECTIONS = ("teams", "budgets", "services", "endpoints")
-"""Sections that map names to parts."""
+"""Sections whose parts are keyed by name."""
 
 Errors = tuple[DeclarationError, ...]
 
 
 def schema_version_of(document: dict[str, Any]) -> Result[int, DeclarationError]:
-    """Return the schema that a document is written in."""
+    """Return the schema version of a document."""
     version = document.get(VERSION_KEY, FIRST_SCHEMA)
     is_known = type(version) is int and FIRST_SCHEMA <= version <= SCHEMA_VERSION
     if is_known:
@@ -32,7 +32,7 @@
 
 
 def read_declarations(document: dict[str, Any]) -> Result[Declarations, Errors]:
-    """Return the declarations in a document, or all errors of its shape."""
+    """Return the declarations in a document, or all schema errors in it."""
     match schema_version_of(document):
         case Result(tag="error", error=error):
             return Error((error,))
@@ -42,36 +42,40 @@
     raise AssertionError("a result is ok or an error")
 
 
-def read_changed(
+def read_changed_declarations(
     document: dict[str, Any], known: dict[str, Any], declarations: Declarations
 ) -> Result[Declarations, Errors]:
     """Return the declarations in a document that was made by editing ``known``.
 
-    ``declarations`` are those in ``known``. The result is that of
-    ``read_declarations``; parts that are the same objects in both documents
-    are not read again, since a large fleet changes a little at a time.
+    ``declarations`` are those of ``known``. The result is the same as that of
+    ``read_declarations``. Parts that are the same objects in both documents are
+    not read again, since one edit changes only a small part of a large fleet.
     """
     if document.get(VERSION_KEY) != known.get(VERSION_KEY):
         return read_declarations(document)
     edited = {
-        section: _edited_parts(section, value, known)
+        section: _select_edited_parts(section, value, known)
         for section, value in document.items()
     }
     return read_declarations(edited).map(
         lambda read: read._replace(
-            teams=_merged("teams", document, read.teams, declarations.teams),
-            budgets=_merged("budgets", document, read.budgets, declarations.budgets),
-            services=_merged(
+            teams=_merge_unchanged_parts(
+                "teams", document, read.teams, declarations.teams
+            ),
+            budgets=_merge_unchanged_parts(
+                "budgets", document, read.budgets, declarations.budgets
+            ),
+            services=_merge_unchanged_parts(
                 "services", document, read.services, declarations.services
             ),
-            endpoints=_merged(
+            endpoints=_merge_unchanged_parts(
                 "endpoints", document, read.endpoints, declarations.endpoints
             ),
         )
     )
 
 
-def _edited_parts(section: str, value: Any, known: dict[str, Any]) -> Any:
+def _select_edited_parts(section: str, value: Any, known: dict[str, Any]) -> Any:
     before = known.get(section)
     is_named = section in NAMED_SECTIONS and isinstance(value, dict)
     if not is_named or not isinstance(before, dict):
@@ -83,7 +87,7 @@
     }
 
 
-def _merged(
+def _merge_unchanged_parts(
     section: str, document: dict[str, Any], read: dict[str, T], known: dict[str, T]
 ) -> dict[str, T]:
     names = sorted(document.get(section, {}))
@@ -92,20 +96,20 @@
 
 def _read_version(body: dict[str, Any], version: int) -> Result[Declarations, Errors]:
     if version > FIRST_SCHEMA:
-        return _convert(body, Declarations).map(_with_sorted_names)
+        return _convert(body, Declarations).map(_sort_by_name)
     match _convert(body, DeclarationsV1):
         case Result(tag="error", error=errors):
             return Error(errors)
         case _:
             upgraded = _convert(upgrade_v1(body), Declarations)
-            return upgraded.map(_with_sorted_names)
+            return upgraded.map(_sort_by_name)
 
 
-def _with_sorted_names(declarations: Declarations) -> Declarations:
-    """Return declarations in an order that all nodes share.
+def _sort_by_name(declarations: Declarations) -> Declarations:
+    """Return declarations sorted by name, so that all nodes have the same order.
 
-    A document's own order is that of its edits, which a node that began with
-    a checkpoint does not know.
+    The order of a document depends on its edits, which are unknown to a node that
+    started from a checkpoint.
     """
     return declarations._replace(
         teams=dict(sorted(declarations.teams.items())),
--- a/libs/entry/src/clementinebend_entry/configuration.py
+++ b/libs/entry/src/clementinebend_entry/configuration.py
@@ -11,15 +11,15 @@
 from expression import Result
 
 from clementinebend_declarations.checkpoints import (
-    configuration_bytes,
-    configuration_from_bytes,
-    newest,
+    decode_configuration_state,
+    encode_configuration_state,
+    newer_state,
 )
 from clementinebend_declarations.models import Configuration
 from clementinebend_declarations.replay import (
     configuration_checkpoint,
     configuration_of,
-    empty_configuration,
+    empty_configuration_state,
     replay_configuration,
     restore_configuration,
 )
@@ -27,7 +27,7 @@
     ConfigurationOutcome,
     ConfigurationState,
     Diverged,
-    Unreadable,
+    UnsupportedSchema,
 )
 from clementinebend_entry.exceptions import BrokenInvariant
 from clementinebend_entry.lookup import Directory, directory_of
@@ -36,7 +36,7 @@
 from clementinebend_platform_client.exceptions import NewerSchema
 from clementinebend_platform_client.tail import StreamTail, TailOutcome
 from clementinebend_platform_client.writer import StreamWriter
-from clementinebend_records.messages import RevisionGive
+from clementinebend_records.messages import ConfigurationReply
 from clementinebend_records.records import Batch, Checkpoint
 from clementinebend_records.streams import CONFIGURATION_STREAM
 
@@ -45,7 +45,7 @@
 PEER_INTERVAL_S = 0.5
 """How often peers are asked while the log cannot be reached."""
 
-AskPeers = Callable[[], Awaitable[tuple[RevisionGive, ...]]]
+AskPeers = Callable[[], Awaitable[tuple[ConfigurationReply, ...]]]
 
 
 class ConfigurationKeeper:
@@ -61,7 +61,7 @@
         self.readable = readable
         self.on_change = on_change
         self.on_unreadable = on_unreadable
-        self.state: ConfigurationState = empty_configuration()
+        self.state: ConfigurationState = empty_configuration_state()
         self.directory = directory_of(self.configuration)
         self.writer = StreamWriter(
             log.client, CONFIGURATION_STREAM, log.writer, log.post
@@ -113,7 +113,7 @@
 
     def check(self, outcome: ConfigurationOutcome) -> None:
         """Leave if an activated schema cannot be read; stop if states differ."""
-        if isinstance(outcome, Unreadable):
+        if isinstance(outcome, UnsupportedSchema):
             self.on_unreadable()
         if isinstance(outcome, Diverged):
             raise BrokenInvariant(f"configuration checkpoints differ: {outcome}")
@@ -131,19 +131,21 @@
         logger.info("revision %d is in force", self.revision)
         self.on_change(self.directory)
 
-    def take(self, give: RevisionGive) -> None:
+    def take(self, give: ConfigurationReply) -> None:
         """Take the configuration of a peer, if it is newer."""
-        match configuration_from_bytes(give.state):
+        match decode_configuration_state(give.state):
             case Result(tag="ok", ok=state):
                 is_readable = state.configuration.activated_schema <= self.readable
                 if is_readable and state.configuration.revision > self.revision:
-                    self.replace(newest(self.state, state))
+                    self.replace(newer_state(self.state, state))
             case Result(error=reason):
                 logger.warning("a peer's configuration is unusable: %s", reason)
 
-    def give(self, question: int) -> RevisionGive:
+    def give(self, question: int) -> ConfigurationReply:
         """Return the configuration in force, for a peer."""
-        return RevisionGive(question, self.revision, configuration_bytes(self.state))
+        return ConfigurationReply(
+            question, self.revision, encode_configuration_state(self.state)
+        )
 
     async def ask_peers(self, ask: AskPeers) -> None:
         """Ask peers, for ever, while the log cannot be read."""
--- a/libs/records/src/clementinebend_records/reasons.py
+++ b/libs/records/src/clementinebend_records/reasons.py
@@ -1,10 +1,10 @@
-"""Reasons for which a request was not run, and the outcomes a caller sees."""
+"""Reasons for not running a request, and outcomes of requests for callers."""
 
 from enum import StrEnum
 
 
-class NotRun(StrEnum):
-    """Why a request did not run. None of these is ever billed."""
+class NotRunReason(StrEnum):
+    """Why a request was not run. Such requests are never billed."""
 
     BUDGET_EXHAUSTED = "budget_exhausted"
     BUDGET_UNAVAILABLE = "budget_unavailable"
@@ -22,8 +22,8 @@
     CANCELLED = "cancelled"
 
 
-class Outcome(StrEnum):
-    """The four answers a caller can get to a request that was well formed."""
+class RequestOutcome(StrEnum):
+    """The four outcomes of a well-formed request, as reported to the caller."""
 
     WHOLE = "whole_answer"
     NOT_RUN = "not_run"
--- a/libs/relay/src/clementinebend_relay/peers.py
+++ b/libs/relay/src/clementinebend_relay/peers.py
@@ -8,7 +8,7 @@
 from clementinebend_ledger.quota_requests import TokenRequest
 from clementinebend_ledger.quota_transfers import TransferBook
 from clementinebend_ledger.quota_witness import NO_EPOCH
-from clementinebend_records.identifiers import Incarnation, name_of
+from clementinebend_records.identifiers import Incarnation, process_name_of
 from clementinebend_relay.budgets import Budgets
 from clementinebend_relay.discovery import Announcement, Directory
 from clementinebend_relay.homes import LIVENESS_CHECK_INTERVAL, Homes
@@ -217,7 +217,7 @@
             return
         self.on_heard(message.boot)
         amount = self.transfers.take(message.boot, message.team, message.transfer)
-        giver = name_of(Incarnation(message.boot))
+        giver = process_name_of(Incarnation(message.boot))
         part = self.budgets.part(message.team)
         if not message.is_home and giver == self.home_of(part):
             self.homes.on_home_denied(part)
--- a/tests/unit/declarations/test_deltas.py
+++ b/tests/unit/declarations/test_deltas.py
@@ -1,4 +1,4 @@
-"""Edits: a difference, applied, gives the other document."""
+"""Edits: applying the diff of two documents to one gives the other."""
 
 from functools import reduce
 from os import environ
@@ -8,7 +8,7 @@
 
 from clementinebend_declarations.documents import (
     apply_changes,
-    difference,
+    diff_documents,
     document_digest,
 )
 from clementinebend_records.records import Change
@@ -23,30 +23,30 @@
     st.builds(Change, path=paths, value=values, remove=st.booleans()), max_size=8
 ).map(tuple)
 
-counted = settings(
+example_settings = settings(
     max_examples=20_000 if FUZZ else 400, derandomize=not FUZZ, deadline=None
 )
 
 
-@counted
+@example_settings
 @given(documents, documents)
-def test_difference_applied_gives_the_other_document(
+def test_applying_a_diff_gives_the_other_document(
     old: dict[str, object], new: dict[str, object]
 ) -> None:
     before = document_digest(old)
-    edits = difference(old, new)
+    edits = diff_documents(old, new)
     assert document_digest(apply_changes(old, edits)) == document_digest(new)
     assert document_digest(old) == before
     assert bool(edits) is (before != document_digest(new))
 
 
-@counted
+@example_settings
 @given(documents, changes)
-def test_edits_together_do_what_they_do_one_by_one(
+def test_applying_edits_together_equals_applying_them_one_by_one(
     document: dict[str, object], edits: tuple[Change, ...]
 ) -> None:
     one_by_one = reduce(
-        lambda made, edit: apply_changes(made, (edit,)), edits, document
+        lambda changed, edit: apply_changes(changed, (edit,)), edits, document
     )
     assert document_digest(apply_changes(document, edits)) == document_digest(
         one_by_one
--- a/tests/unit/relay/simulated_fleet.py
+++ b/tests/unit/relay/simulated_fleet.py
@@ -18,7 +18,11 @@
     RecordsDropped,
     StoreFailure,
 )
-from clementinebend_records.identifiers import Incarnation, name_of, new_incarnation
+from clementinebend_records.identifiers import (
+    Incarnation,
+    new_incarnation,
+    process_name_of,
+)
 from clementinebend_relay.budget_peers import NoPeers
 from clementinebend_relay.budgets import Budgets, boot_of
 from clementinebend_relay.discovery import Announcement, Directory
@@ -187,7 +191,7 @@
         amount = self.transfers.take(message.boot, message.team, message.transfer)
         spent = self.fleet.spent.get(self.boot, 0)
         self.fleet.spent[self.boot] = spent - amount
-        giver = name_of(Incarnation(message.boot))
+        giver = process_name_of(Incarnation(message.boot))
         self.budgets.on_transfer(message.team, amount, giver)
 
     def call(self, amount: int) -> bool:
