--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -15,7 +15,7 @@
 from clementinebend_entry.configuration import ConfigurationKeeper
 from clementinebend_entry.heartbeat import heartbeat_interval
 from clementinebend_entry.ledger import Ledger
-from clementinebend_entry.ledger_events import PartReceived, WitnessesSeen
+from clementinebend_entry.ledger_events import TransferReceived, WitnessesSeen
 from clementinebend_entry.lender import Lender
 from clementinebend_entry.lookup import Directory
 from clementinebend_entry.own_witness import OwnWitness
@@ -230,7 +230,7 @@
     @on_peer_news.register
     def _(self, news: TransferGive) -> None:
         if news.amount:
-            self.ledger.take(PartReceived(news))
+            self.ledger.take(TransferReceived(news))
 
     def see_witnesses(self) -> None:
         """Tell the ledger whom it may put in its scope."""
--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -15,15 +15,15 @@
 from clementinebend_entry.holders import Holders
 from clementinebend_entry.judging import judge_all
 from clementinebend_entry.ledger_events import (
-    Finished,
+    CostUnknown,
     LedgerEvent,
-    PartReceived,
+    ReceiptReceived,
     Replayed,
+    ReservationCancelled,
+    ReservationRequested,
     Restored,
     Ticked,
-    Unproved,
-    Wanted,
-    Withdrawn,
+    TransferReceived,
     WitnessesSeen,
 )
 from clementinebend_entry.ledger_listener import LedgerListener
@@ -120,11 +120,15 @@
         """Set tokens aside for a run, waiting for a grant if need be."""
         reply: Future[Reservation | Refusal] = self.loop.create_future()
         now = self.loop.time()
-        self.take(Wanted(Waiter(run, budget, max(1, amount), deadline, reply, now)))
+        self.take(
+            ReservationRequested(
+                Waiter(run, budget, max(1, amount), deadline, reply, now)
+            )
+        )
         try:
             answer = await reply
         except BaseException:
-            self.take(Withdrawn(run))
+            self.take(ReservationCancelled(run))
             raise
         if isinstance(answer, Reservation):
             return answer._replace(amount=amount)
@@ -174,20 +178,20 @@
         self.dirty.set()
 
     @take.register
-    def _(self, event: Wanted) -> None:
+    def _(self, event: ReservationRequested) -> None:
         self.waiters[event.waiter.run] = event.waiter
         if not self.try_waiter(event.waiter):
             self.dirty.set()
 
     @take.register
-    def _(self, event: Withdrawn) -> None:
+    def _(self, event: ReservationCancelled) -> None:
         self.waiters.pop(event.run, None)
         self.holders.cancel(event.run)
         self.changed.set()
         self.dirty.set()
 
     @take.register
-    def _(self, event: Finished) -> None:
+    def _(self, event: ReceiptReceived) -> None:
         receipt = event.receipt
         holder = self.holders.find(receipt.run)
         if holder is None:
@@ -198,7 +202,7 @@
         self.dirty.set()
 
     @take.register
-    def _(self, event: Unproved) -> None:
+    def _(self, event: CostUnknown) -> None:
         holder = self.holders.find(event.run)
         if holder is not None:
             amount = holder.runs[event.run].amount
@@ -212,7 +216,7 @@
         self.succession.widen()
 
     @take.register
-    def _(self, event: PartReceived) -> None:
+    def _(self, event: TransferReceived) -> None:
         self.holder = receive_transfer(self.holder, event.give)
         self.dirty.set()
 
@@ -223,7 +227,7 @@
         left = [waiter for waiter in waiting if not self.try_waiter(waiter)]
         for run, refusal in judge_all(left, self.holder, self.top_ups, now):
             self.waiters[run].reply.set_result(refusal)
-            self.take(Withdrawn(run))
+            self.take(ReservationCancelled(run))
         self.succession.prepare_if_due(now)
         self.succession.append_planned(now)
         self.top_ups.post_due(now)
--- a/libs/entry/src/clementinebend_entry/ledger_events.py
+++ b/libs/entry/src/clementinebend_entry/ledger_events.py
@@ -22,25 +22,25 @@
     stream: str
 
 
-class Wanted(NamedTuple):
+class ReservationRequested(NamedTuple):
     """A request needs tokens."""
 
     waiter: Waiter
 
 
-class Withdrawn(NamedTuple):
+class ReservationCancelled(NamedTuple):
     """A run is proved not run, or its request does not wait any more."""
 
     run: RunId
 
 
-class Finished(NamedTuple):
+class ReceiptReceived(NamedTuple):
     """A run ended and its sidecar says what it cost."""
 
     receipt: Receipt
 
 
-class Unproved(NamedTuple):
+class CostUnknown(NamedTuple):
     """What a run cost will never be known: its reservation is held."""
 
     run: RunId
@@ -54,7 +54,7 @@
     peers: tuple[Incarnation, ...]
 
 
-class PartReceived(NamedTuple):
+class TransferReceived(NamedTuple):
     """A peer passed a part of a grant."""
 
     give: TransferGive
@@ -67,11 +67,11 @@
 LedgerEvent = (
     Replayed
     | Restored
-    | Wanted
-    | Withdrawn
-    | Finished
-    | Unproved
+    | ReservationRequested
+    | ReservationCancelled
+    | ReceiptReceived
+    | CostUnknown
     | WitnessesSeen
-    | PartReceived
+    | TransferReceived
     | Ticked
 )
--- a/libs/entry/src/clementinebend_entry/lost_runs.py
+++ b/libs/entry/src/clementinebend_entry/lost_runs.py
@@ -28,7 +28,11 @@
 from clementinebend_entry.answer_output import AnswerOutput
 from clementinebend_entry.budget_waits import Reservation
 from clementinebend_entry.following import Follower
-from clementinebend_entry.ledger_events import Finished, Unproved, Withdrawn
+from clementinebend_entry.ledger_events import (
+    CostUnknown,
+    ReceiptReceived,
+    ReservationCancelled,
+)
 from clementinebend_entry.metrics import UNRESOLVED_RUNS
 from clementinebend_entry.outcomes import Failed, Unknown
 from clementinebend_entry.run_results import (
@@ -57,7 +61,7 @@
 def release_lost(services: Services, lost: Sequence[LostRun]) -> None:
     """Free the reservations of earlier runs: the key has a bill."""
     for run in lost:
-        services.ledger.take(Withdrawn(run.reservation.run))
+        services.ledger.take(ReservationCancelled(run.reservation.run))
         expect_receipt(services, run)
 
 
@@ -79,9 +83,9 @@
 def bill(services: Services, run: LostRun, receipt: Receipt) -> None:
     """Bill a run by its receipt; one that was executed before frees the ticket."""
     if receipt.run != run.reservation.run:
-        services.ledger.take(Withdrawn(run.reservation.run))
+        services.ledger.take(ReservationCancelled(run.reservation.run))
     services.receipts.expect(receipt.key, receipt.run, receipt.endpoint)
-    services.ledger.take(Finished(receipt))
+    services.ledger.take(ReceiptReceived(receipt))
 
 
 def trouble_of(lost: Sequence[LostRun]) -> Failed | Unknown:
@@ -100,7 +104,7 @@
 
 @_resolve.register
 def _(result: RunNotRun, run: LostRun, services: Services) -> None:
-    services.ledger.take(Withdrawn(run.reservation.run))
+    services.ledger.take(ReservationCancelled(run.reservation.run))
 
 
 @_resolve.register(RunBroke)
@@ -113,7 +117,7 @@
 @_resolve.register(SidecarGone)
 def _(result: RunUncertain | SidecarGone, run: LostRun, services: Services) -> None:
     expect_receipt(services, run)
-    services.ledger.take(Unproved(run.reservation.run, run.key))
+    services.ledger.take(CostUnknown(run.reservation.run, run.key))
 
 
 @_resolve.register
--- a/libs/entry/src/clementinebend_entry/run_account.py
+++ b/libs/entry/src/clementinebend_entry/run_account.py
@@ -3,7 +3,7 @@
 from clementinebend_entry.budget_waits import Reservation
 from clementinebend_entry.calls import Call
 from clementinebend_entry.following import Follower
-from clementinebend_entry.ledger_events import Finished, Withdrawn
+from clementinebend_entry.ledger_events import ReceiptReceived, ReservationCancelled
 from clementinebend_entry.lost_runs import (
     LostRun,
     bill,
@@ -43,7 +43,7 @@
     def withdraw(self) -> None:
         """Free the reservation of a run that did not take place."""
         if self.reservation is not None:
-            self.services.ledger.take(Withdrawn(self.reservation.run))
+            self.services.ledger.take(ReservationCancelled(self.reservation.run))
             self.reservation = None
 
     def lose(self, result: RunResult, follower: Follower) -> None:
@@ -63,7 +63,7 @@
             self.reservation = None
         else:
             self.services.receipts.expect(receipt.key, receipt.run, receipt.endpoint)
-            self.services.ledger.take(Finished(receipt))
+            self.services.ledger.take(ReceiptReceived(receipt))
         release_lost(self.services, self.lost)
         self.lost.clear()
 
--- a/tests/unit/entry/test_ledger.py
+++ b/tests/unit/entry/test_ledger.py
@@ -13,9 +13,9 @@
 from clementinebend_entry.budget_waits import Reservation, outage_retry_ms
 from clementinebend_entry.ledger import Ledger
 from clementinebend_entry.ledger_events import (
-    Finished,
-    Unproved,
-    Withdrawn,
+    CostUnknown,
+    ReceiptReceived,
+    ReservationCancelled,
     WitnessesSeen,
 )
 from clementinebend_entry.outcomes import Refusal
@@ -142,8 +142,8 @@
     async with bench() as made:
         reservation = await made.reserved("r1", 100)
         assert reservation.holder == made.ledger.incarnation
-        made.ledger.take(Finished(receipt(reservation, 30)))
-        made.ledger.take(Finished(receipt(reservation, 30)))
+        made.ledger.take(ReceiptReceived(receipt(reservation, 30)))
+        made.ledger.take(ReceiptReceived(receipt(reservation, 30)))
         await wait_for(made.ledger.until_settled(), LONG)
         summary = budget_summary(made.replayed(), BUDGET)
         assert summary.billed == 30
@@ -164,7 +164,7 @@
         waiting = create_task(made.reserve("r2", 900))
         await made.until(lambda state: state.offset > 2)
         assert not waiting.done()
-        made.ledger.take(Finished(receipt(first, 50)))
+        made.ledger.take(ReceiptReceived(receipt(first, 50)))
         second = await wait_for(waiting, LONG)
         assert isinstance(second, Reservation)
 
@@ -172,10 +172,10 @@
 async def test_a_grant_in_hand_serves_while_the_log_is_down() -> None:
     async with bench() as made:
         first = await made.reserved("r1", 300)
-        made.ledger.take(Withdrawn(first.run))
+        made.ledger.take(ReservationCancelled(first.run))
         await made.log.set(outage=True)
         second = await made.reserved("r2", 300)
-        made.ledger.take(Finished(receipt(second, 10)))
+        made.ledger.take(ReceiptReceived(receipt(second, 10)))
         refusal = await made.reserve("r3", 600)
         assert isinstance(refusal, Refusal)
         assert refusal.reason is NotRun.BUDGET_UNAVAILABLE
@@ -199,7 +199,7 @@
         await made.until(lambda state: state.offset > 2)
         waiting.cancel()
         await gather(waiting, return_exceptions=True)
-        made.ledger.take(Withdrawn(first.run))
+        made.ledger.take(ReservationCancelled(first.run))
         assert isinstance(await made.reserve("r3", 1000), Reservation)
         assert made.ledger.waiters == {}
 
@@ -214,7 +214,7 @@
         assert made.listener.closed == [first.holder]
         second = await made.reserved("r2", 100)
         assert second.holder == made.ledger.incarnation != first.holder
-        made.ledger.take(Finished(receipt(first, 40)))
+        made.ledger.take(ReceiptReceived(receipt(first, 40)))
         await wait_for(made.until_here(lambda: bool(made.listener.logged)), LONG)
         await made.until_here(lambda: made.ledger.is_witness(BUDGET, SIDECAR))
         state = made.replayed()
@@ -227,7 +227,7 @@
         other = Incarnation("entry-2#x")
         await made.write(GrantRequest(BUDGET, other, GrantId("g2"), 500))
         ran = Reservation(RunId("r9"), BUDGET, GrantId("g2"), other, 100)
-        made.ledger.take(Finished(receipt(ran, 70)))
+        made.ledger.take(ReceiptReceived(receipt(ran, 70)))
         state = await made.until(lambda state: bool(state.billed_runs))
         assert budget_summary(state, BUDGET).billed == 70
         assert state.grants[GrantId("g2")]["remainder"] == 430
@@ -236,7 +236,7 @@
 async def test_what_cannot_be_proved_is_held_whole() -> None:
     async with bench() as made:
         reservation = await made.reserved("r1", 120)
-        made.ledger.take(Unproved(reservation.run, RequestKey("k")))
+        made.ledger.take(CostUnknown(reservation.run, RequestKey("k")))
         state = await made.until(lambda state: bool(state.billed_runs))
         summary = budget_summary(state, BUDGET)
         assert (summary.billed, summary.held) == (0, 120)
@@ -262,7 +262,7 @@
 async def test_a_planned_stop_frees_all_grants() -> None:
     async with bench() as made:
         reservation = await made.reserved("r1", 100)
-        made.ledger.take(Finished(receipt(reservation, 30)))
+        made.ledger.take(ReceiptReceived(receipt(reservation, 30)))
         await wait_for(made.ledger.until_settled(), LONG)
         assert await made.ledger.close(LONG)
         summary = budget_summary(made.replayed(), BUDGET)
