--- a/libs/entry/src/clementinebend_entry/borrower.py
+++ b/libs/entry/src/clementinebend_entry/borrower.py
@@ -31,7 +31,7 @@
                 if shard.failing_for(self.ledger.loop.time()) > FAILING_S:
                     needy = tuple(group)
                     await self.borrow(budget, needy)
-                    self.ledger.note_asked(needy)
+                    self.ledger.mark_peers_asked(needy)
 
     async def borrow(self, budget: str, waiters: Sequence[Waiter]) -> None:
         """Ask one peer after another until the need is met.
--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -73,7 +73,9 @@
         self.configuration = ConfigurationKeeper(
             log, settings.schema_version, self.on_configuration, stop.set
         )
-        self.keeper = ReceiptKeeper(settings.kept_receipts, self.ledger.post_foreign)
+        self.keeper = ReceiptKeeper(
+            settings.kept_receipts, self.ledger.bill_foreign_run
+        )
         self.pool = SidecarPool(
             settings.name, settings.subset_size, self.hello, self.on_sidecar_news
         )
--- a/libs/entry/src/clementinebend_entry/holders.py
+++ b/libs/entry/src/clementinebend_entry/holders.py
@@ -62,7 +62,7 @@
         """Return the holder under which a run is reserved."""
         return next((holder for holder in self.all() if run in holder.runs), None)
 
-    def learn(self, outcome: LedgerOutcome, now: float, stream: str) -> None:
+    def apply_outcome(self, outcome: LedgerOutcome, now: float, stream: str) -> None:
         """Hand an outcome of replay to all of them."""
         self.current = on_outcome(self.current, outcome, now, stream)
         self.retired = [
--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -34,7 +34,7 @@
 )
 from clementinebend_entry.metrics import BUDGET_REFUSALS, HELD_BILLS
 from clementinebend_entry.outcomes import Refusal
-from clementinebend_entry.posting import forget_post
+from clementinebend_entry.posting import unmark_posted
 from clementinebend_entry.settles import settles_of
 from clementinebend_entry.shard import LogSettings
 from clementinebend_entry.shards import Shards
@@ -79,7 +79,7 @@
         self.waiters: dict[RunId, Waiter] = {}
         self.dirty = Event()
         self.changed = Event()
-        self.shards = Shards(shards, log, self.take, self.take_back)
+        self.shards = Shards(shards, log, self.take, self.unmark_unwritten)
         self.top_ups = TopUpPoster(name, self.shards)
         self.succession = Succession(self.holders, self.shards, self.loop.time())
 
@@ -145,7 +145,7 @@
                     await self.dirty.wait()
             except TimeoutError:
                 waiting = (waiter.budget for waiter in self.waiters.values())
-                self.note_budgets(waiting)
+                self.refresh_budgets(waiting)
             self.dirty.clear()
             self.take(Ticked())
 
@@ -161,11 +161,11 @@
         own = self.holders.incarnations()
         for outcome in event.outcomes:
             count_outcome(outcome, own)
-            self.learn(outcome, now, event.stream)
+            self.apply_outcome(outcome, now, event.stream)
         if self.succession.go_over_if_due():
             self.listener.on_rotated()
         budgets = touched_budgets(event.outcomes)
-        self.note_budgets(self.holder.budgets if budgets is None else budgets)
+        self.refresh_budgets(self.holder.budgets if budgets is None else budgets)
         self.changed.set()
         self.dirty.set()
 
@@ -180,7 +180,7 @@
     @take.register
     def _(self, event: ReservationRequested) -> None:
         self.waiters[event.waiter.run] = event.waiter
-        if not self.try_waiter(event.waiter):
+        if not self.try_reserve(event.waiter):
             self.dirty.set()
 
     @take.register
@@ -195,7 +195,7 @@
         receipt = event.receipt
         holder = self.holders.find(receipt.run)
         if holder is None:
-            self.post_foreign(receipt)
+            self.bill_foreign_run(receipt)
         else:
             now = self.loop.time()
             settle(holder, receipt.run, receipt.key, receipt.amount, now=now)
@@ -224,7 +224,7 @@
     def _(self, event: Ticked) -> None:
         now = self.loop.time()
         waiting = tuple(self.waiters.values())
-        left = [waiter for waiter in waiting if not self.try_waiter(waiter)]
+        left = [waiter for waiter in waiting if not self.try_reserve(waiter)]
         for run, refusal in judge_all(left, self.holder, self.top_ups, now):
             self.waiters[run].reply.set_result(refusal)
             self.take(ReservationCancelled(run))
@@ -234,16 +234,16 @@
 
     # Steps.
 
-    def learn(self, outcome: LedgerOutcome, now: float, stream: str) -> None:
+    def apply_outcome(self, outcome: LedgerOutcome, now: float, stream: str) -> None:
         """Hand an outcome of replay to the holders, and to who else needs it."""
-        self.holders.learn(outcome, now, stream)
+        self.holders.apply_outcome(outcome, now, stream)
         bill = logged_bill(outcome)
         if bill is not None:
             self.listener.on_logged(bill)
         if isinstance(outcome, HolderClosed):
             self.listener.on_closed(outcome.holder)
 
-    def try_waiter(self, waiter: Waiter) -> bool:
+    def try_reserve(self, waiter: Waiter) -> bool:
         """Reserve for one who waits, if a grant has room."""
         now = self.loop.time()
         if waiter.reply.done():
@@ -257,27 +257,27 @@
         waiter.reply.set_result(reservation)
         return True
 
-    def note_asked(self, waiters: Iterable[Waiter]) -> None:
+    def mark_peers_asked(self, waiters: Iterable[Waiter]) -> None:
         """Take in that peers were asked for those who wait."""
         still = (waiter for waiter in waiters if waiter.run in self.waiters)
         self.waiters |= {each.run: each._replace(has_asked=True) for each in still}
         self.dirty.set()
 
-    def note_budgets(self, budgets: Iterable[str]) -> None:
+    def refresh_budgets(self, budgets: Iterable[str]) -> None:
         """Tell the holder the accounts of budgets that it uses."""
         now = self.loop.time()
         for budget in self.holder.budgets.keys() & set(budgets):
             summary = budget_summary(self.shards.of_budget(budget).state, budget)
             self.holder = observe_budget(self.holder, budget, summary, now)
 
-    def post_foreign(self, receipt: Receipt) -> None:
+    def bill_foreign_run(self, receipt: Receipt) -> None:
         """Bill a run that another entry's holder reserved for."""
         self.shards.post(self.shards.of_budget(receipt.budget), settles_of((receipt,)))
 
-    def take_back(self, stream: str, records: tuple[Record, ...]) -> None:
+    def unmark_unwritten(self, stream: str, records: tuple[Record, ...]) -> None:
         """Take back what the log's writer did not take."""
         for holder in self.holders.all():
-            forget_post(holder, stream, records)
+            unmark_posted(holder, stream, records)
 
     # Planned stop.
 
--- a/libs/entry/src/clementinebend_entry/posting.py
+++ b/libs/entry/src/clementinebend_entry/posting.py
@@ -8,7 +8,7 @@
 from clementinebend_records.records import GrantRequest, Record, Scope, Settle
 
 
-def forget_post(
+def unmark_posted(
     holder: HolderState, stream: str, records: Iterable[Record]
 ) -> HolderState:
     """Undo the marks that say that these records are on their way.
@@ -17,16 +17,16 @@
     holder is closed, which costs refusals and never overspend.
     """
     for record in records:
-        _forget(record, holder, stream)
+        _unmark(record, holder, stream)
     return holder
 
 
 @singledispatch
-def _forget(record: Any, holder: HolderState, stream: str) -> None:
+def _unmark(record: Any, holder: HolderState, stream: str) -> None:
     return None
 
 
-@_forget.register
+@_unmark.register
 def _(record: Settle, holder: HolderState, stream: str) -> None:
     for bill in record.bills:
         unlogged = holder.bills.get(bill.run)
@@ -34,14 +34,14 @@
             holder.bills[bill.run] = unlogged._replace(sent=False)
 
 
-@_forget.register
+@_unmark.register
 def _(record: GrantRequest, holder: HolderState, stream: str) -> None:
     use = holder.budgets.get(record.budget)
     if use is not None:
         use["requested"].pop(record.grant, None)
 
 
-@_forget.register
+@_unmark.register
 def _(record: Scope, holder: HolderState, stream: str) -> None:
     asked = holder.requested_witnesses.get(stream, {})
     for witness in (*record.sidecars, *record.peers):
