--- a/libs/entry/src/clementinebend_entry/borrower.py
+++ b/libs/entry/src/clementinebend_entry/borrower.py
@@ -10,7 +10,7 @@
 from clementinebend_entry.peer_pool import PeerPool
 
 INTERVAL_S = 0.1
-FAILING_S = 0.2
+MIN_OUTAGE_S = 0.2
 """How long the log may fail before peers are asked."""
 
 
@@ -28,10 +28,10 @@
             waiters = sorted(self.ledger.waiters.values(), key=budget_of)
             for budget, group in groupby(waiters, key=budget_of):
                 shard = self.ledger.shards.of_budget(budget)
-                if shard.failing_for(self.ledger.loop.time()) > FAILING_S:
-                    needy = tuple(group)
-                    await self.borrow(budget, needy)
-                    self.ledger.mark_peers_asked(needy)
+                if shard.failing_for(self.ledger.loop.time()) > MIN_OUTAGE_S:
+                    waiting_group = tuple(group)
+                    await self.borrow(budget, waiting_group)
+                    self.ledger.mark_peers_asked(waiting_group)
 
     async def borrow(self, budget: str, waiters: Sequence[Waiter]) -> None:
         """Ask one peer after another until the need is met.
@@ -41,9 +41,9 @@
         amount = sum(waiter.amount for waiter in waiters)
         least = min(waiter.amount for waiter in waiters)
         for name in self.peers.creditors():
-            given = await self.peers.ask_transfer(name, budget, amount, least)
-            amount -= given
-            TRANSFERS.labels("received" if given else "nothing").inc()
+            received = await self.peers.ask_transfer(name, budget, amount, least)
+            amount -= received
+            TRANSFERS.labels("received" if received else "nothing").inc()
             if amount <= 0:
                 return
 
--- a/libs/entry/src/clementinebend_entry/ledger_outcomes.py
+++ b/libs/entry/src/clementinebend_entry/ledger_outcomes.py
@@ -39,16 +39,16 @@
     return outcome.bill
 
 
-def count_outcome(outcome: LedgerOutcome, mine: Container[Incarnation]) -> None:
+def count_outcome(outcome: LedgerOutcome, own_holders: Container[Incarnation]) -> None:
     """Count an outcome if it is of this entry's records."""
-    if isinstance(outcome, GrantAccepted) and outcome.holder in mine:
+    if isinstance(outcome, GrantAccepted) and outcome.holder in own_holders:
         GRANTS.labels("accepted").inc()
-    elif isinstance(outcome, GrantRefused) and outcome.holder in mine:
+    elif isinstance(outcome, GrantRefused) and outcome.holder in own_holders:
         GRANTS.labels(outcome.reason).inc()
-    elif isinstance(outcome, Billed) and _holder_of(outcome.bill) in mine:
+    elif isinstance(outcome, Billed) and _holder_of(outcome.bill) in own_holders:
         BILLS.labels("held" if outcome.bill.held else "billed").inc()
         TOKENS_BILLED.inc(outcome.bill.amount)
-    elif isinstance(outcome, BillRepeated) and _holder_of(outcome.bill) in mine:
+    elif isinstance(outcome, BillRepeated) and _holder_of(outcome.bill) in own_holders:
         BILLS.labels("repeated").inc()
 
 
