--- a/libs/entry/src/clementinebend_entry/holders.py
+++ b/libs/entry/src/clementinebend_entry/holders.py
@@ -83,27 +83,27 @@
         self.current = cancel(self.current, run)
         self.retired = [cancel(holder, run) for holder in self.retired]
 
-    def prepare(self) -> None:
+    def prepare_successor(self) -> None:
         """Begin another holder, to go over to later."""
         self.successor = empty_holder(new_incarnation(self.name))
 
-    def go_over(self) -> dict[str, tuple[Record, ...]]:
+    def switch_to_successor(self) -> dict[str, tuple[Record, ...]]:
         """Use the next holder; return what gives tokens back, by budget."""
         old = self.current
-        records = {} if old.closed else surrender(old)
+        records = {} if old.closed else return_free_tokens(old)
         self.retired.append(old._replace(closed=True))
         self.current = self.successor or empty_holder(new_incarnation(self.name))
         self.successor = None
         return records
 
-    def take_spent(self) -> tuple[HolderState, ...]:
+    def pop_spent(self) -> tuple[HolderState, ...]:
         """Take out the earlier holders of which nothing is left to log."""
         spent = tuple(holder for holder in self.retired if is_spent(holder))
         self.retired = [holder for holder in self.retired if not is_spent(holder)]
         self.ended.update(holder.incarnation for holder in spent)
         return spent
 
-    def is_outdated(self, seen: WitnessesSeen, streams: Iterable[str]) -> bool:
+    def has_replaced_sidecar(self, seen: WitnessesSeen, streams: Iterable[str]) -> bool:
         """Return whether a sidecar in scope has been replaced."""
         current = {name_of(sidecar): sidecar for sidecar in seen.sidecars}
         scoped = {
@@ -113,7 +113,7 @@
         }
         return any(current.get(name_of(each), each) != each for each in scoped)
 
-    def is_prepared(self, seen: WitnessesSeen, streams: Iterable[str]) -> bool:
+    def is_successor_ready(self, seen: WitnessesSeen, streams: Iterable[str]) -> bool:
         """Return whether the next holder may use all witnesses in reach."""
         successor = self.successor
         if successor is None or not seen.sidecars:
@@ -130,11 +130,11 @@
     return not (holder.runs or holder.bills or holder.transfers)
 
 
-def surrender(holder: HolderState) -> dict[str, tuple[Record, ...]]:
+def return_free_tokens(holder: HolderState) -> dict[str, tuple[Record, ...]]:
     """Return, by budget, what gives back all that is free; it is used no more."""
     return {
         budget: tuple(
-            _give_back(holder, budget, grant, own)
+            _return_grant(holder, budget, grant, own)
             for grant, own in use["grants"].items()
             if own["free"] > 0
         )
@@ -142,7 +142,7 @@
     }
 
 
-def _give_back(
+def _return_grant(
     holder: HolderState, budget: str, grant: GrantId, own: OwnGrant
 ) -> GrantReturn:
     free, own["free"] = own["free"], 0
--- a/libs/entry/src/clementinebend_entry/succession.py
+++ b/libs/entry/src/clementinebend_entry/succession.py
@@ -33,11 +33,13 @@
 
     def go_over_if_due(self) -> bool:
         """Go on as another holder if this one is closed or the next is ready."""
-        is_prepared = self.holders.is_prepared(self.seen, self.shards.by_stream)
-        if self.is_stopping or not (self.holders.current.closed or is_prepared):
+        is_successor_ready = self.holders.is_successor_ready(
+            self.seen, self.shards.by_stream
+        )
+        if self.is_stopping or not (self.holders.current.closed or is_successor_ready):
             return False
         old = self.holders.current.incarnation
-        for budget, records in self.holders.go_over().items():
+        for budget, records in self.holders.switch_to_successor().items():
             self.shards.post(self.shards.of_budget(budget), records)
         logger.info("holder %s ends, now %s", old, self.holders.current.incarnation)
         self.widen()
@@ -48,9 +50,9 @@
         is_early = now - self.prepared_at < PREPARE_INTERVAL_S
         if is_early or self.is_stopping or self.holders.successor is not None:
             return
-        if self.holders.is_outdated(self.seen, self.shards.by_stream):
+        if self.holders.has_replaced_sidecar(self.seen, self.shards.by_stream):
             self.prepared_at = now
-            self.holders.prepare()
+            self.holders.prepare_successor()
             self.widen()
 
     def append_planned(self, now: float) -> None:
@@ -61,7 +63,7 @@
         for index, holder in enumerate(self.holders.retired):
             self.holders.retired[index], records = plan(holder, now, delay)
             self.shards.post_by_budget(records)
-        for holder in self.holders.take_spent():
+        for holder in self.holders.pop_spent():
             self.close_spent(holder)
 
     def close_spent(self, holder: HolderState) -> None:
