--- a/libs/entry/src/clementinebend_entry/budget_waits.py
+++ b/libs/entry/src/clementinebend_entry/budget_waits.py
@@ -22,10 +22,10 @@
 LONGEST_OUTAGE_RETRY_MS = 30_000
 MILLISECONDS = 1000
 BUSY_STATUS = 429
-LOG_PATIENCE_S = 1.0
+MAX_LOG_OUTAGE_S = 1.0
 """How long the log may fail before requests that need it are refused."""
 
-PEERS_PATIENCE_S = 1.0
+PEERS_TIMEOUT_S = 1.0
 """How long peers may take to say what they lend while the log fails."""
 
 
@@ -52,7 +52,7 @@
     deadline: float
     reply: "Future[Reservation | Refusal]"
     since: float = 0.0
-    has_asked: bool = False
+    has_asked_peers: bool = False
 
 
 class BudgetView(NamedTuple):
@@ -66,33 +66,33 @@
     summary: BudgetSummary
     declared: int
     failing_for: float
-    settling: bool
+    release_expected: bool
 
 
-def judge_waiter(waiter: Waiter, view: BudgetView, now: float) -> Refusal | None:
+def refusal_of_waiter(waiter: Waiter, view: BudgetView, now: float) -> Refusal | None:
     """Return why a request is given up on, or None while it is to wait."""
-    if view.settling and now < waiter.deadline:
+    if view.release_expected and now < waiter.deadline:
         return None
-    has_waited = now >= min(waiter.deadline, waiter.since + PEERS_PATIENCE_S)
-    is_hopeless = waiter.has_asked or has_waited
-    if view.failing_for > LOG_PATIENCE_S and is_hopeless:
+    has_waited = now >= min(waiter.deadline, waiter.since + PEERS_TIMEOUT_S)
+    has_no_lender = waiter.has_asked_peers or has_waited
+    if view.failing_for > MAX_LOG_OUTAGE_S and has_no_lender:
         message = "no grant is at hand and the platform's log cannot be reached"
         retry_ms = outage_retry_ms(view.failing_for)
         return Refusal(NotRun.BUDGET_UNAVAILABLE, retry_ms, message)
     if waiter.amount > remaining(view):
         return Refusal(NotRun.BUDGET_EXHAUSTED, EXHAUSTED_RETRY_MS)
     if now >= waiter.deadline:
-        return budget_is_busy()
+        return budget_busy_refusal()
     return None
 
 
-def budget_is_busy() -> Refusal:
+def budget_busy_refusal() -> Refusal:
     """Return the refusal of a request that waited in vain for a settlement."""
     message = "all of the budget that remains is reserved"
     return Refusal(NotRun.BUDGET_UNAVAILABLE, BUSY_RETRY_MS, message, BUSY_STATUS)
 
 
-def is_settling(
+def is_release_expected(
     holder: HolderState, waiter: Waiter, is_log_failing: bool, now: float
 ) -> bool:
     """Return whether what is under way will likely be enough in time.
--- a/libs/entry/src/clementinebend_entry/claims.py
+++ b/libs/entry/src/clementinebend_entry/claims.py
@@ -6,7 +6,7 @@
 
 from asyncio import Event, Future, get_running_loop, timeout_at, wait
 
-from clementinebend_entry.budget_waits import LOG_PATIENCE_S, outage_retry_ms
+from clementinebend_entry.budget_waits import MAX_LOG_OUTAGE_S, outage_retry_ms
 from clementinebend_entry.metrics import CLAIMS
 from clementinebend_entry.shard import ClaimsShard, LogSettings, claims_shard
 from clementinebend_ledger.claims import (
@@ -105,7 +105,7 @@
         loop, shard = get_running_loop(), self.shard_for(key)
         while not verdict.done():
             now = loop.time()
-            is_failing = shard.failing_for(now) > LOG_PATIENCE_S
+            is_failing = shard.failing_for(now) > MAX_LOG_OUTAGE_S
             if is_failing or now >= deadline:
                 return False
             await wait((verdict,), timeout=min(deadline - now, LOOK_INTERVAL_S))
--- a/libs/entry/src/clementinebend_entry/judging.py
+++ b/libs/entry/src/clementinebend_entry/judging.py
@@ -5,11 +5,11 @@
 from typing import NamedTuple
 
 from clementinebend_entry.budget_waits import (
-    LOG_PATIENCE_S,
+    MAX_LOG_OUTAGE_S,
     BudgetView,
     Waiter,
-    is_settling,
-    judge_waiter,
+    is_release_expected,
+    refusal_of_waiter,
 )
 from clementinebend_entry.outcomes import Refusal
 from clementinebend_entry.top_ups import TopUpPoster
@@ -49,9 +49,11 @@
     declared = sum(top_up.amount for top_up in top_ups.missing(budget))
     summary = budget_summary(shard.state, budget)
     for waiter in waiters:
-        settling = is_settling(holder, waiter, failing_for > LOG_PATIENCE_S, now)
-        view = BudgetView(summary, declared, failing_for, settling)
-        refusal = judge_waiter(waiter, view, now)
+        release_expected = is_release_expected(
+            holder, waiter, failing_for > MAX_LOG_OUTAGE_S, now
+        )
+        view = BudgetView(summary, declared, failing_for, release_expected)
+        refusal = refusal_of_waiter(waiter, view, now)
         if refusal is not None:
             yield Judged(waiter.run, refusal)
 
--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -260,7 +260,9 @@
     def mark_peers_asked(self, waiters: Iterable[Waiter]) -> None:
         """Take in that peers were asked for those who wait."""
         still = (waiter for waiter in waiters if waiter.run in self.waiters)
-        self.waiters |= {each.run: each._replace(has_asked=True) for each in still}
+        self.waiters |= {
+            each.run: each._replace(has_asked_peers=True) for each in still
+        }
         self.dirty.set()
 
     def refresh_budgets(self, budgets: Iterable[str]) -> None:
--- a/libs/entry/src/clementinebend_entry/responder.py
+++ b/libs/entry/src/clementinebend_entry/responder.py
@@ -8,7 +8,7 @@
 from collections.abc import AsyncIterator, Callable
 
 from clementinebend_entry.answers import answer_of, last_event
-from clementinebend_entry.budget_waits import budget_is_busy
+from clementinebend_entry.budget_waits import budget_busy_refusal
 from clementinebend_entry.exceptions import AnswerCutOff
 from clementinebend_entry.execution import Execution
 from clementinebend_entry.metrics import ABANDONED, REQUESTS
@@ -83,7 +83,7 @@
     if execution.dispatched:
         execution.tell(Unknown("the deadline passed while the request ran"))
     elif execution.waits_for_budget:
-        execution.tell(budget_is_busy())
+        execution.tell(budget_busy_refusal())
     else:
         execution.tell(Refusal(NotRun.DEADLINE, DEADLINE_RETRY_MS))
 
