--- a/libs/entry/src/clementinebend_entry/closer.py
+++ b/libs/entry/src/clementinebend_entry/closer.py
@@ -19,7 +19,7 @@
 from clementinebend_entry.own_witness import OwnWitness
 from clementinebend_entry.peer_pool import PeerPool
 from clementinebend_entry.reach import Reach
-from clementinebend_entry.receipts import ReceiptDesk
+from clementinebend_entry.receipts import ReceiptTracker
 from clementinebend_entry.settles import settles_of
 from clementinebend_entry.shard import LedgerShard
 from clementinebend_entry.sidecar_pool import SidecarPool
@@ -47,7 +47,7 @@
         ledger: Ledger,
         sidecars: SidecarPool,
         peers: PeerPool,
-        receipts: ReceiptDesk,
+        receipts: ReceiptTracker,
         own: OwnWitness,
         reach: Reach,
     ) -> None:
--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -24,8 +24,8 @@
 from clementinebend_entry.pointer_desk import PointerDesk
 from clementinebend_entry.reach import Reach
 from clementinebend_entry.receipt_keeper import ReceiptKeeper
-from clementinebend_entry.receipt_places import ReceiptPlaces
-from clementinebend_entry.receipts import ReceiptDesk
+from clementinebend_entry.receipt_replicas import RemoteReceiptReplicas
+from clementinebend_entry.receipts import ReceiptTracker
 from clementinebend_entry.router import Router
 from clementinebend_entry.services import Services
 from clementinebend_entry.settings import EntrySettings
@@ -85,8 +85,8 @@
         limits = self.configuration.configuration.declarations.limits
         self.gate = AdmissionGate(limits.retry_budget_ratio)
         self.peers = PeerPool(settings, self.hello, self.on_peer_news)
-        places = ReceiptPlaces(self.ledger, self.pool, self.peers)
-        self.receipts = ReceiptDesk(settings.zone, places)
+        replicas = RemoteReceiptReplicas(self.ledger, self.pool, self.peers)
+        self.receipts = ReceiptTracker(settings.zone, replicas)
         self.pointers = PointerDesk(settings.name, settings.kept_pointers, self.peers)
         self.own_witness = OwnWitness(Lender(self.ledger), self.keeper)
         self.borrower = Borrower(self.ledger, self.peers)
@@ -194,7 +194,7 @@
             self.router.note_leaving(news.name, news.hello.leaving)
         self.router.refresh()
         self.gate.set_slots(self.slots())
-        self.receipts.tell_sidecars()
+        self.receipts.notify_sidecars()
 
     @on_sidecar_news.register
     def _(self, news: LoadReport) -> None:
--- a/libs/entry/src/clementinebend_entry/receipt_places.py
+++ b/libs/entry/src/clementinebend_entry/receipt_replicas.py
@@ -7,7 +7,7 @@
 from clementinebend_records.messages import Receipt, ReceiptsLogged
 
 
-class ReceiptPlaces:
+class RemoteReceiptReplicas:
     """Reaches the sidecars and the peers that keep receipts of this entry."""
 
     def __init__(self, ledger: Ledger, sidecars: SidecarPool, peers: PeerPool) -> None:
@@ -16,7 +16,7 @@
         self.peers = peers
         self.kept_by: dict[RunId, str] = {}
 
-    def tell_sidecar(self, endpoint: str, logged: ReceiptsLogged) -> bool:
+    def notify_sidecar(self, endpoint: str, logged: ReceiptsLogged) -> bool:
         """Tell a sidecar which receipts are on the log; false if out of reach."""
         link = self.sidecars.links.get(endpoint)
         return link is not None and link.post(logged)
--- a/libs/entry/src/clementinebend_entry/receipts.py
+++ b/libs/entry/src/clementinebend_entry/receipts.py
@@ -19,10 +19,10 @@
 from clementinebend_records.records import Bill
 
 
-class Places(Protocol):
+class ReceiptReplicas(Protocol):
     """Where receipts are kept."""
 
-    def tell_sidecar(self, endpoint: str, logged: ReceiptsLogged) -> bool:
+    def notify_sidecar(self, endpoint: str, logged: ReceiptsLogged) -> bool:
         """Tell a sidecar which receipts are on the log; false if out of reach."""
 
     def is_cut_off(self, budget: str) -> bool:
@@ -35,16 +35,16 @@
         """Tell the peer that keeps a receipt that it is on the log."""
 
 
-class ReceiptDesk:
+class ReceiptTracker:
     """Knows which receipts wait for their bill to be read back."""
 
-    def __init__(self, zone: str, places: Places) -> None:
+    def __init__(self, zone: str, replicas: ReceiptReplicas) -> None:
         self.zone = zone
-        self.places = places
+        self.replicas = replicas
         self.waiting: defaultdict[RequestKey, list[tuple[RunId, str]]]
         self.waiting = defaultdict(list)
         self.logged: dict[RequestKey, Future[None]] = {}
-        self.untold: defaultdict[str, list[RunId]] = defaultdict(list)
+        self.pending_notices: defaultdict[str, list[RunId]] = defaultdict(list)
 
     def expect(self, key: RequestKey, run: RunId, endpoint: str) -> None:
         """Remember who keeps the receipt of a run until its key is billed."""
@@ -56,39 +56,41 @@
         if future is not None and not future.done():
             future.set_result(None)
         for run, endpoint in self.waiting.pop(bill.key, ()):
-            self.untold[endpoint].append(run)
-            self.places.forget_at_peer(run)
-        if self.untold:
-            get_running_loop().call_soon(self.tell_sidecars)
+            self.pending_notices[endpoint].append(run)
+            self.replicas.forget_at_peer(run)
+        if self.pending_notices:
+            get_running_loop().call_soon(self.notify_sidecars)
 
-    def tell_sidecars(self) -> None:
+    def notify_sidecars(self) -> None:
         """Tell sidecars which receipts need no more keeping."""
-        for endpoint, runs in tuple(self.untold.items()):
-            if self.places.tell_sidecar(endpoint, ReceiptsLogged(tuple(runs))):
-                del self.untold[endpoint]
+        for endpoint, runs in tuple(self.pending_notices.items()):
+            if self.replicas.notify_sidecar(endpoint, ReceiptsLogged(tuple(runs))):
+                del self.pending_notices[endpoint]
 
     def unsafe_zone(self, call: Call) -> str:
         """Return the zone whose receipts could not be made safe; empty if none."""
         needs_zones = call.receipt_safety is ReceiptSafety.TWO_ZONES
-        return self.zone if needs_zones and self.places.is_cut_off(call.budget) else ""
+        return (
+            self.zone if needs_zones and self.replicas.is_cut_off(call.budget) else ""
+        )
 
     async def make_safe(self, receipt: Receipt, call: Call, zone: str) -> bool:
         """Return once a receipt is safe; false if that cannot be had in time."""
         if zone != self.zone:
-            return _count("zones")
+            return _count_safe("zones")
         logged = self.logged_future(receipt.key)
-        kept = create_task(self.places.keep_at_peer(receipt))
+        kept = create_task(self.replicas.keep_at_peer(receipt))
         await wait((logged, kept), return_when=FIRST_COMPLETED)
         if kept.done() and kept.result():
-            return _count("peer")
+            return _count_safe("peer")
         if logged.done():
             kept.cancel()
-            return _count("log")
+            return _count_safe("log")
         if call.receipt_safety is ReceiptSafety.TWO_HOSTS:
-            return _count("hosts")
+            return _count_safe("hosts")
         left = max(0.0, call.deadline - monotonic())
         await wait((logged,), timeout=left)
-        return _count("log") if logged.done() else False
+        return _count_safe("log") if logged.done() else False
 
     def logged_future(self, key: RequestKey) -> Future[None]:
         """Return the future of a key's bill being read back."""
@@ -97,6 +99,6 @@
         return self.logged[key]
 
 
-def _count(place: str) -> bool:
+def _count_safe(place: str) -> bool:
     RECEIPTS_SAFE.labels(place).inc()
     return True
--- a/libs/entry/src/clementinebend_entry/services.py
+++ b/libs/entry/src/clementinebend_entry/services.py
@@ -8,7 +8,7 @@
 from clementinebend_entry.claims import ClaimsDesk
 from clementinebend_entry.ledger import Ledger
 from clementinebend_entry.pointer_desk import PointerDesk
-from clementinebend_entry.receipts import ReceiptDesk
+from clementinebend_entry.receipts import ReceiptTracker
 from clementinebend_entry.router import Router
 from clementinebend_entry.sidecar_pool import SidecarPool
 
@@ -24,5 +24,5 @@
     ledger: Ledger
     claims: ClaimsDesk
     pointers: PointerDesk
-    receipts: ReceiptDesk
+    receipts: ReceiptTracker
     watch: Watch
--- a/tests/unit/entry/test_keeping.py
+++ b/tests/unit/entry/test_keeping.py
@@ -30,7 +30,7 @@
     put_pointer,
 )
 from clementinebend_entry.reach import Reach
-from clementinebend_entry.receipts import ReceiptDesk
+from clementinebend_entry.receipts import ReceiptTracker
 from clementinebend_ledger.replay import empty_ledger, replay
 from clementinebend_ledger.state import LedgerState
 from clementinebend_records.identifiers import GrantId, Incarnation, RequestKey, RunId
@@ -90,7 +90,7 @@
 
 
 class Desk:
-    """A receipt desk, and the places where a peer keeps receipts or not."""
+    """A receipt tracker, and the replicas where a peer keeps receipts or not."""
 
     def __init__(self, keeps: bool) -> None:
         self.keeps = keeps
@@ -98,9 +98,9 @@
         self.is_up = True
         self.asked = Event()
         self.posted = Event()
-        self.desk = ReceiptDesk("zone-a", self)
+        self.desk = ReceiptTracker("zone-a", self)
 
-    def tell_sidecar(self, endpoint: str, logged: ReceiptsLogged) -> bool:
+    def notify_sidecar(self, endpoint: str, logged: ReceiptsLogged) -> bool:
         self.posted.set()
         if self.is_up:
             self.told.append((endpoint, logged))
@@ -157,12 +157,12 @@
     await wait_for(made.posted.wait(), LONG)
     assert made.told == []
     made.is_up = True
-    made.desk.tell_sidecars()
+    made.desk.notify_sidecars()
     assert made.told == [
         ("engine-1", ReceiptsLogged((RunId("r1"),))),
         ("engine-2", ReceiptsLogged((RunId("r0"),))),
     ]
-    made.desk.tell_sidecars()
+    made.desk.notify_sidecars()
     assert len(made.told) == 2
 
 
