--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -159,7 +159,7 @@
 
     def on_closed(self, holder: Incarnation) -> None:
         """Take in that a holder is closed."""
-        self.keeper.bill_holder(holder)
+        self.keeper.bill_closed_holder(holder)
 
     def on_rotated(self) -> None:
         """Take in that this entry is a new holder."""
@@ -251,7 +251,7 @@
         """Bill receipts whose holders stay silent."""
         while True:
             await sleep(KEEPER_INTERVAL_S)
-            self.keeper.bill_forgotten()
+            self.keeper.bill_overdue()
 
     async def watch_hosts(self) -> None:
         """Read the platform's list of hosts again and again."""
--- a/libs/entry/src/clementinebend_entry/receipt_keeper.py
+++ b/libs/entry/src/clementinebend_entry/receipt_keeper.py
@@ -17,7 +17,7 @@
 from clementinebend_records.messages import Receipt
 from clementinebend_records.records import Bill
 
-PATIENCE_S = 60.0
+MAX_UNLOGGED_S = 60.0
 """How long a receipt may stay unlogged before its keeper bills it."""
 
 
@@ -52,7 +52,7 @@
         self.store, receipts = close_receipts(self.store, holder)
         return receipts
 
-    def bill_holder(self, holder: Incarnation) -> None:
+    def bill_closed_holder(self, holder: Incarnation) -> None:
         """Bill what is kept for a holder that the log shows closed.
 
         Its closer may ask for an earlier incarnation of this entry, and get no
@@ -67,10 +67,10 @@
         for receipt in tuple(self.store.receipts.values()):
             self.bill(receipt)
 
-    def bill_forgotten(self) -> None:
+    def bill_overdue(self) -> None:
         """Bill the receipts that have waited too long."""
-        oldest = monotonic() - PATIENCE_S
-        late = [run for run, kept_at in self.kept_at.items() if kept_at < oldest]
-        for run in late:
+        oldest = monotonic() - MAX_UNLOGGED_S
+        overdue = [run for run, kept_at in self.kept_at.items() if kept_at < oldest]
+        for run in overdue:
             self.kept_at[run] = monotonic()
             self.bill(self.store.receipts[run])
