--- a/libs/entry/src/clementinebend_entry/closer.py
+++ b/libs/entry/src/clementinebend_entry/closer.py
@@ -20,7 +20,7 @@
 from clementinebend_entry.peer_pool import PeerPool
 from clementinebend_entry.reach import Reach
 from clementinebend_entry.receipts import ReceiptTracker
-from clementinebend_entry.settles import settles_of
+from clementinebend_entry.settles import settle_records
 from clementinebend_entry.shard import LedgerShard
 from clementinebend_entry.sidecar_pool import SidecarPool
 from clementinebend_ledger.replay import LedgerState
@@ -175,7 +175,7 @@
         for receipt in known:
             self.receipts.expect(receipt.key, receipt.run, receipt.endpoint)
         ack = CloseAck(notice.holder, notice.witness, lost)
-        self.ledger.shards.post(shard, (*settles_of(known), ack))
+        self.ledger.shards.post(shard, (*settle_records(known), ack))
 
     def of_shard(
         self, receipts: Iterable[Receipt], shard: LedgerShard
--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -35,7 +35,7 @@
 from clementinebend_entry.metrics import BUDGET_REFUSALS, HELD_BILLS
 from clementinebend_entry.outcomes import Refusal
 from clementinebend_entry.posting import unmark_posted
-from clementinebend_entry.settles import settles_of
+from clementinebend_entry.settles import settle_records
 from clementinebend_entry.shard import LogSettings
 from clementinebend_entry.shards import Shards
 from clementinebend_entry.succession import Succession
@@ -274,7 +274,9 @@
 
     def bill_foreign_run(self, receipt: Receipt) -> None:
         """Bill a run that another entry's holder reserved for."""
-        self.shards.post(self.shards.of_budget(receipt.budget), settles_of((receipt,)))
+        self.shards.post(
+            self.shards.of_budget(receipt.budget), settle_records((receipt,))
+        )
 
     def unmark_unwritten(self, stream: str, records: tuple[Record, ...]) -> None:
         """Take back what the log's writer did not take."""
--- a/libs/entry/src/clementinebend_entry/own_witness.py
+++ b/libs/entry/src/clementinebend_entry/own_witness.py
@@ -2,7 +2,7 @@
 
 from clementinebend_entry.lender import Lender
 from clementinebend_entry.receipt_keeper import ReceiptKeeper
-from clementinebend_entry.settles import settles_of
+from clementinebend_entry.settles import settle_records
 from clementinebend_records.identifiers import Incarnation
 from clementinebend_records.messages import CloseReply
 from clementinebend_records.records import CloseAck
@@ -32,6 +32,6 @@
         shard = self.lender.ledger.shards.by_stream.get(stream)
         if parts and shard is not None:
             ack = CloseAck(holder, self.incarnation)
-            records = (*parts, *settles_of(receipts), ack)
+            records = (*parts, *settle_records(receipts), ack)
             self.lender.ledger.shards.post(shard, records)
         return CloseReply(holder, self.incarnation, len(parts), receipts)
--- a/libs/entry/src/clementinebend_entry/settles.py
+++ b/libs/entry/src/clementinebend_entry/settles.py
@@ -7,7 +7,7 @@
 from clementinebend_records.records import Bill, Record, Settle
 
 
-def settles_of(receipts: Iterable[Receipt]) -> tuple[Record, ...]:
+def settle_records(receipts: Iterable[Receipt]) -> tuple[Record, ...]:
     """Return the bills of receipts, by budget."""
     ordered = sorted(receipts, key=budget_of)
     return tuple(
--- a/libs/entry/src/clementinebend_entry/top_ups.py
+++ b/libs/entry/src/clementinebend_entry/top_ups.py
@@ -18,7 +18,7 @@
 """How long the operator's command has before an entry posts."""
 
 STAGGER_S = 3.0
-LOOK_INTERVAL_S = 0.5
+CHECK_INTERVAL_S = 0.5
 
 
 class TopUpWatch(NamedTuple):
@@ -79,7 +79,7 @@
         self.declarations = Declarations()
         self.entries: tuple[str, ...] = ()
         self.watch = empty_watch()
-        self.next_look = 0.0
+        self.next_check = 0.0
 
     def missing(self, budget: str) -> tuple[TopUp, ...]:
         """Return the declared top-ups of a budget that are not applied."""
@@ -88,9 +88,9 @@
 
     def post_due(self, now: float) -> None:
         """Post what the ledger still does not have; looks about once a second."""
-        if now < self.next_look:
+        if now < self.next_check:
             return
-        self.next_look = now + LOOK_INTERVAL_S
+        self.next_check = now + CHECK_INTERVAL_S
         missing = [
             top_up
             for budget in self.declarations.budgets
