--- a/libs/entry/src/clementinebend_entry/lost_runs.py
+++ b/libs/entry/src/clementinebend_entry/lost_runs.py
@@ -88,7 +88,7 @@
     services.ledger.take(ReceiptReceived(receipt))
 
 
-def trouble_of(lost: Sequence[LostRun]) -> Failed | Unknown:
+def lost_runs_error(lost: Sequence[LostRun]) -> Failed | Unknown:
     """Return what the caller is told when none of the runs was whole."""
     broke = (run.result for run in lost if isinstance(run.result, RunBroke))
     first = next(broke, None)
--- a/libs/entry/src/clementinebend_entry/run_account.py
+++ b/libs/entry/src/clementinebend_entry/run_account.py
@@ -7,9 +7,9 @@
 from clementinebend_entry.lost_runs import (
     LostRun,
     bill,
+    lost_runs_error,
     release_lost,
     resolve_lost,
-    trouble_of,
 )
 from clementinebend_entry.outcomes import Failed, Refusal, Unknown
 from clementinebend_entry.run_results import RunBroke, RunResult, RunWhole
@@ -74,4 +74,4 @@
 
     def trouble(self) -> Failed | Unknown | None:
         """Return what the caller is told of lost runs; None if there are none."""
-        return trouble_of(self.lost) if self.lost else None
+        return lost_runs_error(self.lost) if self.lost else None
