--- a/libs/entry/src/clementinebend_entry/closer.py
+++ b/libs/entry/src/clementinebend_entry/closer.py
@@ -14,9 +14,9 @@
     turn_delay,
 )
 from clementinebend_entry.ledger import Ledger
+from clementinebend_entry.local_witness import LocalWitness
 from clementinebend_entry.message_link import MessageLink
 from clementinebend_entry.metrics import CLOSES
-from clementinebend_entry.own_witness import OwnWitness
 from clementinebend_entry.peer_pool import PeerPool
 from clementinebend_entry.reach import Reach
 from clementinebend_entry.receipts import ReceiptTracker
@@ -48,7 +48,7 @@
         sidecars: SidecarPool,
         peers: PeerPool,
         receipts: ReceiptTracker,
-        own: OwnWitness,
+        own: LocalWitness,
         reach: Reach,
     ) -> None:
         self.ledger = ledger
--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -17,8 +17,8 @@
 from clementinebend_entry.ledger import Ledger
 from clementinebend_entry.ledger_events import TransferReceived, WitnessesSeen
 from clementinebend_entry.lender import Lender
+from clementinebend_entry.local_witness import LocalWitness
 from clementinebend_entry.lookup import Directory
-from clementinebend_entry.own_witness import OwnWitness
 from clementinebend_entry.peer_pool import PeerPool, entry_hello
 from clementinebend_entry.peer_server import PeerServer
 from clementinebend_entry.pointer_desk import PointerDesk
@@ -88,12 +88,12 @@
         replicas = RemoteReceiptReplicas(self.ledger, self.pool, self.peers)
         self.receipts = ReceiptTracker(settings.zone, replicas)
         self.pointers = PointerDesk(settings.name, settings.kept_pointers, self.peers)
-        self.own_witness = OwnWitness(Lender(self.ledger), self.keeper)
+        self.local_witness = LocalWitness(Lender(self.ledger), self.keeper)
         self.borrower = Borrower(self.ledger, self.peers)
         self.peer_server = PeerServer(
             self.hello,
             self.pointers,
-            self.own_witness,
+            self.local_witness,
             self.configuration.give,
             stop.set,
         )
@@ -102,7 +102,7 @@
             self.pool,
             self.peers,
             self.receipts,
-            self.own_witness,
+            self.local_witness,
             self.reach,
         )
         self.services = Services(
--- a/libs/entry/src/clementinebend_entry/own_witness.py
+++ b/libs/entry/src/clementinebend_entry/local_witness.py
@@ -8,7 +8,7 @@
 from clementinebend_records.records import CloseAck
 
 
-class OwnWitness:
+class LocalWitness:
     """Refuses closed holders and tells what is kept under them."""
 
     def __init__(self, lender: Lender, keeper: ReceiptKeeper) -> None:
--- a/libs/entry/src/clementinebend_entry/peer_server.py
+++ b/libs/entry/src/clementinebend_entry/peer_server.py
@@ -5,8 +5,8 @@
 from functools import singledispatchmethod
 from typing import Any
 
+from clementinebend_entry.local_witness import LocalWitness
 from clementinebend_entry.message_link import MakeHello
-from clementinebend_entry.own_witness import OwnWitness
 from clementinebend_entry.pointer_desk import PointerDesk
 from clementinebend_records.messages import (
     CloseNotice,
@@ -34,7 +34,7 @@
         self,
         hello: MakeHello,
         pointers: PointerDesk,
-        own: OwnWitness,
+        own: LocalWitness,
         give_revision: GiveRevision,
         drain: Callable[[], None],
     ) -> None:
