--- a/tests/unit/entry/test_ledger.py
+++ b/tests/unit/entry/test_ledger.py
@@ -70,7 +70,7 @@
         self.rotations += 1
 
 
-class Bench:
+class LedgerHarness:
     """One entry's ledger over a log in memory."""
 
     def __init__(self, log: FakeLog) -> None:
@@ -125,62 +125,62 @@
 
 
 @asynccontextmanager
-async def bench(tokens: int = 1000) -> AsyncIterator[Bench]:
-    made = Bench(FakeLog())
-    await made.write(TopUp(BUDGET, "first", tokens, "jana"))
-    job: Task[Any] = create_task(made.ledger.run())
-    await wait_for(made.ledger.shards.by_stream[STREAM].tail.ready.wait(), LONG)
+async def running_ledger(tokens: int = 1000) -> AsyncIterator[LedgerHarness]:
+    harness = LedgerHarness(FakeLog())
+    await harness.write(TopUp(BUDGET, "first", tokens, "jana"))
+    task: Task[Any] = create_task(harness.ledger.run())
+    await wait_for(harness.ledger.shards.by_stream[STREAM].tail.ready.wait(), LONG)
     try:
-        yield made
+        yield harness
     finally:
-        job.cancel()
-        await gather(job, return_exceptions=True)
-        await made.ledger.shards.close(0.0)
+        task.cancel()
+        await gather(task, return_exceptions=True)
+        await harness.ledger.shards.close(0.0)
 
 
 async def test_a_run_is_reserved_from_a_grant_and_billed_once() -> None:
-    async with bench() as made:
-        reservation = await made.reserved("r1", 100)
-        assert reservation.holder == made.ledger.incarnation
-        made.ledger.take(ReceiptReceived(receipt(reservation, 30)))
-        made.ledger.take(ReceiptReceived(receipt(reservation, 30)))
-        await wait_for(made.ledger.until_settled(), LONG)
-        summary = budget_summary(made.replayed(), BUDGET)
+    async with running_ledger() as harness:
+        reservation = await harness.reserved("r1", 100)
+        assert reservation.holder == harness.ledger.incarnation
+        harness.ledger.take(ReceiptReceived(receipt(reservation, 30)))
+        harness.ledger.take(ReceiptReceived(receipt(reservation, 30)))
+        await wait_for(harness.ledger.until_settled(), LONG)
+        summary = budget_summary(harness.replayed(), BUDGET)
         assert summary.billed == 30
-        assert [bill.amount for bill in made.listener.logged][:1] == [30]
+        assert [bill.amount for bill in harness.listener.logged][:1] == [30]
 
 
 async def test_what_a_budget_cannot_cover_is_refused_at_once() -> None:
-    async with bench() as made:
-        answer = await made.reserve("r1", 1001)
+    async with running_ledger() as harness:
+        answer = await harness.reserve("r1", 1001)
         assert isinstance(answer, Refusal)
         assert answer.reason is NotRun.BUDGET_EXHAUSTED
-        assert made.ledger.is_settled
+        assert harness.ledger.is_settled
 
 
 async def test_near_the_end_a_request_waits_for_a_settlement() -> None:
-    async with bench() as made:
-        first = await made.reserved("r1", 900)
-        waiting = create_task(made.reserve("r2", 900))
-        await made.until(lambda state: state.offset > 2)
+    async with running_ledger() as harness:
+        first = await harness.reserved("r1", 900)
+        waiting = create_task(harness.reserve("r2", 900))
+        await harness.until(lambda state: state.offset > 2)
         assert not waiting.done()
-        made.ledger.take(ReceiptReceived(receipt(first, 50)))
+        harness.ledger.take(ReceiptReceived(receipt(first, 50)))
         second = await wait_for(waiting, LONG)
         assert isinstance(second, Reservation)
 
 
 async def test_a_grant_in_hand_serves_while_the_log_is_down() -> None:
-    async with bench() as made:
-        first = await made.reserved("r1", 300)
-        made.ledger.take(ReservationCancelled(first.run))
-        await made.log.set(outage=True)
-        second = await made.reserved("r2", 300)
-        made.ledger.take(ReceiptReceived(receipt(second, 10)))
-        refusal = await made.reserve("r3", 600)
+    async with running_ledger() as harness:
+        first = await harness.reserved("r1", 300)
+        harness.ledger.take(ReservationCancelled(first.run))
+        await harness.log.set(outage=True)
+        second = await harness.reserved("r2", 300)
+        harness.ledger.take(ReceiptReceived(receipt(second, 10)))
+        refusal = await harness.reserve("r3", 600)
         assert isinstance(refusal, Refusal)
         assert refusal.reason is NotRun.BUDGET_UNAVAILABLE
-        await made.log.set(outage=False)
-        state = await made.until(lambda state: bool(state.billed_runs))
+        await harness.log.set(outage=False)
+        state = await harness.until(lambda state: bool(state.billed_runs))
         assert budget_summary(state, BUDGET).billed == 10
 
 
@@ -193,66 +193,66 @@
 
 
 async def test_a_request_that_leaves_frees_what_it_waited_for() -> None:
-    async with bench() as made:
-        first = await made.reserved("r1", 900)
-        waiting = create_task(made.reserve("r2", 500))
-        await made.until(lambda state: state.offset > 2)
+    async with running_ledger() as harness:
+        first = await harness.reserved("r1", 900)
+        waiting = create_task(harness.reserve("r2", 500))
+        await harness.until(lambda state: state.offset > 2)
         waiting.cancel()
         await gather(waiting, return_exceptions=True)
-        made.ledger.take(ReservationCancelled(first.run))
-        assert isinstance(await made.reserve("r3", 1000), Reservation)
-        assert made.ledger.waiters == {}
+        harness.ledger.take(ReservationCancelled(first.run))
+        assert isinstance(await harness.reserve("r3", 1000), Reservation)
+        assert harness.ledger.waiters == {}
 
 
 async def test_a_closed_holder_goes_on_as_another_and_bills_what_ran() -> None:
-    async with bench() as made:
-        made.ledger.take(WitnessesSeen((SIDECAR,), ()))
-        first = await made.reserved("r1", 100)
-        await made.until_here(lambda: made.ledger.is_witness(BUDGET, SIDECAR))
-        await made.write(HolderClose(first.holder, OPERATOR))
-        await made.until_here(lambda: made.listener.rotations == 1)
-        assert made.listener.closed == [first.holder]
-        second = await made.reserved("r2", 100)
-        assert second.holder == made.ledger.incarnation != first.holder
-        made.ledger.take(ReceiptReceived(receipt(first, 40)))
-        await wait_for(made.until_here(lambda: bool(made.listener.logged)), LONG)
-        await made.until_here(lambda: made.ledger.is_witness(BUDGET, SIDECAR))
-        state = made.replayed()
+    async with running_ledger() as harness:
+        harness.ledger.take(WitnessesSeen((SIDECAR,), ()))
+        first = await harness.reserved("r1", 100)
+        await harness.until_here(lambda: harness.ledger.is_witness(BUDGET, SIDECAR))
+        await harness.write(HolderClose(first.holder, OPERATOR))
+        await harness.until_here(lambda: harness.listener.rotations == 1)
+        assert harness.listener.closed == [first.holder]
+        second = await harness.reserved("r2", 100)
+        assert second.holder == harness.ledger.incarnation != first.holder
+        harness.ledger.take(ReceiptReceived(receipt(first, 40)))
+        await wait_for(harness.until_here(lambda: bool(harness.listener.logged)), LONG)
+        await harness.until_here(lambda: harness.ledger.is_witness(BUDGET, SIDECAR))
+        state = harness.replayed()
         assert budget_summary(state, BUDGET).billed == 40
         assert SIDECAR in state.holders[second.holder]["sidecars"]
 
 
 async def test_another_holders_receipt_is_billed_by_who_saw_it() -> None:
-    async with bench() as made:
+    async with running_ledger() as harness:
         other = Incarnation("entry-2#x")
-        await made.write(GrantRequest(BUDGET, other, GrantId("g2"), 500))
+        await harness.write(GrantRequest(BUDGET, other, GrantId("g2"), 500))
         ran = Reservation(RunId("r9"), BUDGET, GrantId("g2"), other, 100)
-        made.ledger.take(ReceiptReceived(receipt(ran, 70)))
-        state = await made.until(lambda state: bool(state.billed_runs))
+        harness.ledger.take(ReceiptReceived(receipt(ran, 70)))
+        state = await harness.until(lambda state: bool(state.billed_runs))
         assert budget_summary(state, BUDGET).billed == 70
         assert state.grants[GrantId("g2")]["remainder"] == 430
 
 
 async def test_what_cannot_be_proved_is_held_whole() -> None:
-    async with bench() as made:
-        reservation = await made.reserved("r1", 120)
-        made.ledger.take(CostUnknown(reservation.run, RequestKey("k")))
-        state = await made.until(lambda state: bool(state.billed_runs))
+    async with running_ledger() as harness:
+        reservation = await harness.reserved("r1", 120)
+        harness.ledger.take(CostUnknown(reservation.run, RequestKey("k")))
+        state = await harness.until(lambda state: bool(state.billed_runs))
         summary = budget_summary(state, BUDGET)
         assert (summary.billed, summary.held) == (0, 120)
 
 
 async def test_declared_top_ups_that_are_missing_are_posted_once() -> None:
-    async with bench() as made:
+    async with running_ledger() as harness:
         top_ups = (TopUpDeclaration("first", 1000), TopUpDeclaration("second", 500))
-        made.ledger.top_ups.declarations = Declarations(
+        harness.ledger.top_ups.declarations = Declarations(
             budgets={BUDGET: Budget("desk", ("chat",), top_ups)}
         )
-        answer = await made.reserved("r1", 1400)
+        answer = await harness.reserved("r1", 1400)
         assert answer.amount == 1400
         posted = [
             record
-            for _, batch in made.log.batches(STREAM)
+            for _, batch in harness.log.batches(STREAM)
             for record in batch.records
             if isinstance(record, TopUp) and record.author == "entry-1"
         ]
@@ -260,10 +260,10 @@
 
 
 async def test_a_planned_stop_frees_all_grants() -> None:
-    async with bench() as made:
-        reservation = await made.reserved("r1", 100)
-        made.ledger.take(ReceiptReceived(receipt(reservation, 30)))
-        await wait_for(made.ledger.until_settled(), LONG)
-        assert await made.ledger.close(LONG)
-        summary = budget_summary(made.replayed(), BUDGET)
+    async with running_ledger() as harness:
+        reservation = await harness.reserved("r1", 100)
+        harness.ledger.take(ReceiptReceived(receipt(reservation, 30)))
+        await wait_for(harness.ledger.until_settled(), LONG)
+        assert await harness.ledger.close(LONG)
+        summary = budget_summary(harness.replayed(), BUDGET)
         assert (summary.billed, summary.granted, summary.available) == (30, 0, 970)
