--- a/tests/unit/entry/test_keeping.py
+++ b/tests/unit/entry/test_keeping.py
@@ -89,7 +89,7 @@
     assert keep_receipt(store, receipt("r3", DEAD))[1]
 
 
-class Desk:
+class TrackerHarness:
     """A receipt tracker, and the replicas where a peer keeps receipts or not."""
 
     def __init__(self, keeps: bool) -> None:
@@ -98,7 +98,7 @@
         self.is_up = True
         self.asked = Event()
         self.posted = Event()
-        self.desk = ReceiptTracker("zone-a", self)
+        self.tracker = ReceiptTracker("zone-a", self)
 
     def notify_sidecar(self, endpoint: str, logged: ReceiptsLogged) -> bool:
         self.posted.set()
@@ -129,41 +129,43 @@
     safety: ReceiptSafety, zone: str, keeps: bool
 ) -> None:
     call = chat_call(receipt_safety=safety, deadline=monotonic() + LONG)
-    assert await wait_for(Desk(keeps).desk.make_safe(receipt("r1"), call, zone), LONG)
+    assert await wait_for(
+        TrackerHarness(keeps).tracker.make_safe(receipt("r1"), call, zone), LONG
+    )
 
 
 async def test_without_a_second_zone_a_strict_team_waits_for_the_log() -> None:
-    made = Desk(keeps=False)
-    desk = made.desk
+    harness = TrackerHarness(keeps=False)
+    tracker = harness.tracker
     call = chat_call(
         receipt_safety=ReceiptSafety.TWO_ZONES, deadline=monotonic() + LONG
     )
-    assert desk.unsafe_zone(call) == "zone-a"
-    waiting = create_task(desk.make_safe(receipt("r1"), call, "zone-a"))
-    await wait_for(made.asked.wait(), LONG)
+    assert tracker.unsafe_zone(call) == "zone-a"
+    waiting = create_task(tracker.make_safe(receipt("r1"), call, "zone-a"))
+    await wait_for(harness.asked.wait(), LONG)
     assert not waiting.done()
-    desk.on_logged(Bill(KEY, RunId("r1"), GrantId("g"), 5))
+    tracker.on_logged(Bill(KEY, RunId("r1"), GrantId("g"), 5))
     assert await wait_for(waiting, LONG)
     late = call._replace(deadline=monotonic())
-    assert not await desk.make_safe(receipt("r2"), late, "zone-a")
+    assert not await tracker.make_safe(receipt("r2"), late, "zone-a")
 
 
 async def test_sidecars_out_of_reach_hear_later_what_is_logged() -> None:
-    made = Desk(keeps=True)
-    made.is_up = False
-    made.desk.expect(KEY, RunId("r1"), "engine-1")
-    made.desk.expect(KEY, RunId("r0"), "engine-2")
-    made.desk.on_logged(Bill(KEY, RunId("r1"), GrantId("g"), 5))
-    await wait_for(made.posted.wait(), LONG)
-    assert made.told == []
-    made.is_up = True
-    made.desk.notify_sidecars()
-    assert made.told == [
+    harness = TrackerHarness(keeps=True)
+    harness.is_up = False
+    harness.tracker.expect(KEY, RunId("r1"), "engine-1")
+    harness.tracker.expect(KEY, RunId("r0"), "engine-2")
+    harness.tracker.on_logged(Bill(KEY, RunId("r1"), GrantId("g"), 5))
+    await wait_for(harness.posted.wait(), LONG)
+    assert harness.told == []
+    harness.is_up = True
+    harness.tracker.notify_sidecars()
+    assert harness.told == [
         ("engine-1", ReceiptsLogged((RunId("r1"),))),
         ("engine-2", ReceiptsLogged((RunId("r0"),))),
     ]
-    made.desk.notify_sidecars()
-    assert len(made.told) == 2
+    harness.tracker.notify_sidecars()
+    assert len(harness.told) == 2
 
 
 def ledger(*records: Record) -> LedgerState:
