--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -1,9 +1,10 @@
 """The task that owns this entry's grants and its view of the ledger shards.
 
-It reserves, settles and cancels in memory, and appends what follows with the
-writers' next group commits. One holder incarnation covers all shards; when
-replay shows it closed in any of them the entry goes on as a new one, and what
-runs under the old one is still billed by it.
+Reservations, settlements and cancellations change the state in memory; the
+resulting records are appended in the next group commit of each shard's writer.
+One holder incarnation covers all shards. When replay shows that it is closed in
+any shard, the entry switches to a new holder; runs reserved under the old holder
+are still billed to it.
 """
 
 from asyncio import Event, Future, get_running_loop, timeout, timeout_at
@@ -83,11 +84,11 @@
         self.top_ups = TopUpPoster(name, self.shards)
         self.succession = Succession(self.holders, self.shards, self.loop.time())
 
-    # Questions.
+    # Queries.
 
     @property
     def holder(self) -> HolderState:
-        """The holder in use."""
+        """The current holder."""
         return self.holders.current
 
     @holder.setter
@@ -96,12 +97,12 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The holder that new reservations are made under."""
+        """The incarnation of the holder that makes new reservations."""
         return self.holder.incarnation
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing is reserved and all bills were read back."""
+        """Whether nothing is reserved and replay has confirmed all bills."""
         return self.holders.is_settled
 
     def is_witness(self, budget: str, witness: Incarnation) -> bool:
@@ -117,7 +118,7 @@
     async def reserve(
         self, run: RunId, budget: str, amount: int, deadline: float
     ) -> Reservation | Refusal:
-        """Set tokens aside for a run, waiting for a grant if need be."""
+        """Reserve tokens for a run, waiting for a grant if necessary."""
         reply: Future[Reservation | Refusal] = self.loop.create_future()
         now = self.loop.time()
         self.take(
@@ -138,7 +139,7 @@
     # Events.
 
     async def run(self) -> None:
-        """Append what is due, and judge those who wait, for ever."""
+        """Append due records and process waiting requests until cancelled."""
         while True:
             try:
                 async with timeout(BUSY_TICK_S if self.waiters else IDLE_TICK_S):
@@ -151,8 +152,8 @@
 
     @singledispatchmethod
     def take(self, event: LedgerEvent) -> None:
-        """Take in one event."""
-        raise TypeError(f"no ledger event: {event!r}")
+        """Apply one event."""
+        raise TypeError(f"unknown ledger event: {event!r}")
 
     @take.register
     def _(self, event: Replayed) -> None:
@@ -235,7 +236,7 @@
     # Steps.
 
     def apply_outcome(self, outcome: LedgerOutcome, now: float, stream: str) -> None:
-        """Hand an outcome of replay to the holders, and to who else needs it."""
+        """Pass a replay outcome to the holders and the listener."""
         self.holders.apply_outcome(outcome, now, stream)
         bill = logged_bill(outcome)
         if bill is not None:
@@ -244,7 +245,10 @@
             self.listener.on_closed(outcome.holder)
 
     def try_reserve(self, waiter: Waiter) -> bool:
-        """Reserve for one who waits, if a grant has room."""
+        """Reserve for a waiting request if a grant has enough free tokens.
+
+        Returns whether the request has its reply.
+        """
         now = self.loop.time()
         if waiter.reply.done():
             return True
@@ -258,7 +262,7 @@
         return True
 
     def mark_peers_asked(self, waiters: Iterable[Waiter]) -> None:
-        """Take in that peers were asked for those who wait."""
+        """Record that peers were asked for tokens for these requests."""
         still = (waiter for waiter in waiters if waiter.run in self.waiters)
         self.waiters |= {
             each.run: each._replace(has_asked_peers=True) for each in still
@@ -266,27 +270,27 @@
         self.dirty.set()
 
     def refresh_budgets(self, budgets: Iterable[str]) -> None:
-        """Tell the holder the accounts of budgets that it uses."""
+        """Update the holder with the account summaries of budgets that it uses."""
         now = self.loop.time()
         for budget in self.holder.budgets.keys() & set(budgets):
             summary = budget_summary(self.shards.of_budget(budget).state, budget)
             self.holder = observe_budget(self.holder, budget, summary, now)
 
     def bill_foreign_run(self, receipt: Receipt) -> None:
-        """Bill a run that another entry's holder reserved for."""
+        """Bill a run whose reservation belongs to another entry's holder."""
         self.shards.post(
             self.shards.of_budget(receipt.budget), settle_records((receipt,))
         )
 
     def unmark_unwritten(self, stream: str, records: tuple[Record, ...]) -> None:
-        """Take back what the log's writer did not take."""
+        """Unmark records that the log writer did not accept, to plan them again."""
         for holder in self.holders.all():
             unmark_posted(holder, stream, records)
 
-    # Planned stop.
+    # Shutdown.
 
     async def until_changed(self, deadline: float) -> bool:
-        """Wait until more of the log is read; false if ``deadline`` comes first."""
+        """Wait until more of the log is read; false if ``deadline`` passes first."""
         self.changed.clear()
         try:
             async with timeout_at(deadline):
@@ -296,13 +300,13 @@
         return True
 
     async def until_settled(self) -> None:
-        """Wait until nothing is reserved and all bills were read back."""
+        """Wait until nothing is reserved and replay has confirmed all bills."""
         while not self.is_settled:
             self.changed.clear()
             await self.changed.wait()
 
     async def close(self, patience: float) -> bool:
-        """End the holder; return whether its clean close is on the log."""
+        """Close the holder; return whether its clean close is on the log."""
         is_clean = self.succession.end()
         await self.shards.close(patience)
         return is_clean and self.shards.is_flushed
--- a/libs/entry/src/clementinebend_entry/ledger_events.py
+++ b/libs/entry/src/clementinebend_entry/ledger_events.py
@@ -1,4 +1,4 @@
-"""What the ledger task is told."""
+"""Events that the ledger task processes."""
 
 from typing import NamedTuple
 
@@ -17,51 +17,51 @@
 
 
 class Restored(NamedTuple):
-    """A shard goes on from a checkpoint: outcomes between were not seen."""
+    """A shard was restored from a checkpoint, so some outcomes were skipped."""
 
     stream: str
 
 
 class ReservationRequested(NamedTuple):
-    """A request needs tokens."""
+    """A request asked for a reservation of tokens."""
 
     waiter: Waiter
 
 
 class ReservationCancelled(NamedTuple):
-    """A run is proved not run, or its request does not wait any more."""
+    """A run is known not to have run, or its request stopped waiting."""
 
     run: RunId
 
 
 class ReceiptReceived(NamedTuple):
-    """A run ended and its sidecar says what it cost."""
+    """A run ended and its sidecar reported the cost."""
 
     receipt: Receipt
 
 
 class CostUnknown(NamedTuple):
-    """What a run cost will never be known: its reservation is held."""
+    """The cost of a run can never be known, so its whole reservation is held."""
 
     run: RunId
     key: RequestKey
 
 
 class WitnessesSeen(NamedTuple):
-    """These witnesses can be reached now; they replace those seen before."""
+    """The witnesses that are reachable now; replaces the previous set."""
 
     sidecars: tuple[Incarnation, ...]
     peers: tuple[Incarnation, ...]
 
 
 class TransferReceived(NamedTuple):
-    """A peer passed a part of a grant."""
+    """A peer transferred a part of its grant to this entry."""
 
     give: TransferGive
 
 
 class Ticked(NamedTuple):
-    """Time has passed, or something is to be appended."""
+    """The tick interval passed, or records are due to be appended."""
 
 
 LedgerEvent = (
