--- a/libs/entry/src/clementinebend_entry/ledger_listener.py
+++ b/libs/entry/src/clementinebend_entry/ledger_listener.py
@@ -1,4 +1,4 @@
-"""Who is told what the ledger shards show."""
+"""Interface for receivers of ledger shard events."""
 
 from typing import Protocol
 
@@ -7,16 +7,16 @@
 
 
 class LedgerListener(Protocol):
-    """Who is told what the shards show."""
+    """Receives notifications of what is replayed from the shards."""
 
     def on_written(self, writer: Incarnation, now: float) -> None:
-        """Take in that a batch of ``writer`` was read."""
+        """Handle the replay of a batch that ``writer`` appended."""
 
     def on_logged(self, bill: Bill) -> None:
-        """Take in that a request key is billed."""
+        """Handle a bill that is on the log for its request key."""
 
     def on_closed(self, holder: Incarnation) -> None:
-        """Take in that a holder is closed."""
+        """Handle the close of a holder."""
 
     def on_rotated(self) -> None:
-        """Take in that this entry goes on as a new holder."""
+        """Handle this entry's switch to a new holder."""
--- a/libs/entry/src/clementinebend_entry/ledger_outcomes.py
+++ b/libs/entry/src/clementinebend_entry/ledger_outcomes.py
@@ -1,4 +1,4 @@
-"""Counting of what replay reports, and the bills among it."""
+"""Metrics for replay outcomes, and the bills and budgets they concern."""
 
 from collections.abc import Container, Iterable
 from functools import singledispatch
@@ -20,7 +20,7 @@
 
 @singledispatch
 def logged_bill(outcome: Any) -> Bill | None:
-    """Return the bill whose key is on the log now, if the outcome is of one."""
+    """Return the logged bill that an outcome reports, or None."""
     return None
 
 
@@ -40,7 +40,7 @@
 
 
 def count_outcome(outcome: LedgerOutcome, own_holders: Container[Incarnation]) -> None:
-    """Count an outcome if it is of this entry's records."""
+    """Count an outcome in the metrics if it concerns one of ``own_holders``."""
     if isinstance(outcome, GrantAccepted) and outcome.holder in own_holders:
         GRANTS.labels("accepted").inc()
     elif isinstance(outcome, GrantRefused) and outcome.holder in own_holders:
@@ -53,12 +53,12 @@
 
 
 def _holder_of(bill: Bill) -> Incarnation:
-    """Return the holder in a grant's name: ``incarnation/number``."""
+    """Return the holder from a grant id of the form ``incarnation/number``."""
     return Incarnation(bill.grant.rpartition("/")[0])
 
 
 def touched_budgets(outcomes: Iterable[LedgerOutcome]) -> set[str] | None:
-    """Return the budgets whose accounts changed; None if it may be any."""
+    """Return the budgets whose accounts changed; None if any may have."""
     budgets: set[str] = set()
     for outcome in outcomes:
         if isinstance(outcome, HolderReleased):
