--- a/libs/entry/src/clementinebend_entry/borrower.py
+++ b/libs/entry/src/clementinebend_entry/borrower.py
@@ -1,4 +1,4 @@
-"""Asks peers on this side of a cut for parts of grants while the log is out."""
+"""Requests grant transfers from reachable peers during a log outage."""
 
 from asyncio import sleep
 from collections.abc import Sequence
@@ -11,18 +11,18 @@
 
 INTERVAL_S = 0.1
 MIN_OUTAGE_S = 0.2
-"""How long the log may fail before peers are asked."""
+"""Log outage, in seconds, after which peers are asked."""
 
 
 class Borrower:
-    """Borrows for those who wait; a part that comes is used by the ledger."""
+    """Requests tokens for waiting requests; the ledger uses what arrives."""
 
     def __init__(self, ledger: Ledger, peers: PeerPool) -> None:
         self.ledger = ledger
         self.peers = peers
 
     async def run(self) -> None:
-        """Look at those who wait again and again."""
+        """Check the waiting requests periodically until cancelled."""
         while True:
             await sleep(INTERVAL_S)
             waiters = sorted(self.ledger.waiters.values(), key=budget_of)
@@ -34,9 +34,10 @@
                     self.ledger.mark_peers_asked(waiting_group)
 
     async def borrow(self, budget: str, waiters: Sequence[Waiter]) -> None:
-        """Ask one peer after another until the need is met.
+        """Ask one peer after another until the total amount is received.
 
-        A part that is too small for each of those who wait is not taken.
+        A transfer must cover at least the smallest waiting request; a smaller one
+        is not accepted.
         """
         amount = sum(waiter.amount for waiter in waiters)
         least = min(waiter.amount for waiter in waiters)
--- a/libs/entry/src/clementinebend_entry/lender.py
+++ b/libs/entry/src/clementinebend_entry/lender.py
@@ -1,4 +1,4 @@
-"""Passes parts of this entry's grants to peers on its side of a cut."""
+"""Transfers parts of this entry's grants to reachable peers."""
 
 from clementinebend_entry.ledger import Ledger
 from clementinebend_ledger.holder import refuse_sender, send_transfer
@@ -8,18 +8,18 @@
 
 
 class Lender:
-    """Answers peers that ask for tokens."""
+    """Answers peers' requests for tokens."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
 
     @property
     def incarnation(self) -> Incarnation:
-        """The holder that this entry is now."""
+        """The incarnation of this entry's current holder."""
         return self.ledger.incarnation
 
     def lend(self, ask: TransferAsk, receiver: Incarnation) -> TransferGive:
-        """Pass a part of a grant, as far as one has free tokens."""
+        """Transfer a part of a grant that has free tokens."""
         ledger = self.ledger
         transfer = GrantId(f"{ledger.incarnation}/t{new_run_id()}")
         stream = ledger.shards.of_budget(ask.budget).stream
@@ -37,9 +37,9 @@
         return message
 
     def refuse(self, holder: Incarnation) -> tuple[Record, ...]:
-        """Take no more parts from a closed holder.
+        """Accept no more transfers from a closed holder.
 
-        Returns the records of those taken that the log does not have yet.
+        Returns the records of accepted transfers that are not on the log yet.
         """
         ledger = self.ledger
         ledger.holder, records = refuse_sender(ledger.holder, holder)
