--- a/libs/entry/src/clementinebend_entry/holders.py
+++ b/libs/entry/src/clementinebend_entry/holders.py
@@ -1,13 +1,13 @@
-"""The holders of one entry: the one in use, earlier ones, and the next.
+"""The holders of one entry: the current one, retired ones, and the successor.
 
-An earlier holder still bills what runs under it. Once nothing of it is left
-it vouches for that itself (a clean close), so its remainder is free at once.
+A retired holder still bills the runs reserved under it. Once it has nothing left
+to log, the entry closes it cleanly, so its remainder becomes free at once.
 
-A sidecar that restarts takes its memory along, so it could never acknowledge
-the close of a holder that has its old incarnation in scope; should this entry
-die, the remainder would stay held until an operator resolves it. So the entry
-prepares another holder with the present witnesses, and goes over to it when
-its scope is read back. Until then the old one serves.
+A sidecar loses its memory when it restarts, so it can never acknowledge the close
+of a holder that has its old incarnation in scope. If this entry then died, the
+remainder would stay held until an operator resolved it. The entry therefore
+prepares a successor with the current witnesses, and switches to it when the
+successor's scope has been replayed. The old holder serves until then.
 """
 
 from collections.abc import Iterable
@@ -35,7 +35,7 @@
 
 
 class Holders:
-    """Owns the holder states; ``current`` is the one in use."""
+    """Owns the holder states; ``current`` makes new reservations."""
 
     def __init__(self, name: str, incarnation: Incarnation) -> None:
         self.name = name
@@ -45,17 +45,17 @@
         self.ended: set[Incarnation] = set()
 
     def all(self) -> tuple[HolderState, ...]:
-        """Return all holders that may still have something to log."""
+        """Return all holders that may still have records to log."""
         prepared = () if self.successor is None else (self.successor,)
         return (self.current, *self.retired, *prepared)
 
     def incarnations(self) -> frozenset[Incarnation]:
-        """Return the incarnations of all of them, and of those that ended."""
+        """Return the incarnations of all holders, including those that ended."""
         return frozenset(holder.incarnation for holder in self.all()) | self.ended
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing is reserved and all bills were read back."""
+        """Whether nothing is reserved and replay has confirmed all bills."""
         return not any(holder.runs or holder.bills for holder in self.all())
 
     def find(self, run: RunId) -> HolderState | None:
@@ -63,7 +63,7 @@
         return next((holder for holder in self.all() if run in holder.runs), None)
 
     def apply_outcome(self, outcome: LedgerOutcome, now: float, stream: str) -> None:
-        """Hand an outcome of replay to all of them."""
+        """Apply a replay outcome to all holders."""
         self.current = on_outcome(self.current, outcome, now, stream)
         self.retired = [
             on_outcome(holder, outcome, now, stream) for holder in self.retired
@@ -72,23 +72,23 @@
             self.successor = on_outcome(self.successor, outcome, now, stream)
 
     def resume(self, state: LedgerState, stream: str) -> None:
-        """Go on from a restored state of a shard."""
+        """Resume all holders from the restored state of a shard."""
         self.current = resume(self.current, state, stream)
         self.retired = [resume(holder, state, stream) for holder in self.retired]
         if self.successor is not None:
             self.successor = resume(self.successor, state, stream)
 
     def cancel(self, run: RunId) -> None:
-        """Free the reservation of a run that is proved not run."""
+        """Free the reservation of a run that is known not to have run."""
         self.current = cancel(self.current, run)
         self.retired = [cancel(holder, run) for holder in self.retired]
 
     def prepare_successor(self) -> None:
-        """Begin another holder, to go over to later."""
+        """Create the successor, to switch to later."""
         self.successor = empty_holder(new_incarnation(self.name))
 
     def switch_to_successor(self) -> dict[str, tuple[Record, ...]]:
-        """Use the next holder; return what gives tokens back, by budget."""
+        """Switch to the successor; return the old holder's grant returns by budget."""
         old = self.current
         records = {} if old.closed else return_free_tokens(old)
         self.retired.append(old._replace(closed=True))
@@ -97,14 +97,14 @@
         return records
 
     def pop_spent(self) -> tuple[HolderState, ...]:
-        """Take out the earlier holders of which nothing is left to log."""
+        """Remove and return the retired holders that have nothing left to log."""
         spent = tuple(holder for holder in self.retired if is_spent(holder))
         self.retired = [holder for holder in self.retired if not is_spent(holder)]
         self.ended.update(holder.incarnation for holder in spent)
         return spent
 
     def has_replaced_sidecar(self, seen: WitnessesSeen, streams: Iterable[str]) -> bool:
-        """Return whether a sidecar in scope has been replaced."""
+        """Return whether a sidecar in the current scope has a new incarnation."""
         current = {name_of(sidecar): sidecar for sidecar in seen.sidecars}
         scoped = {
             witness
@@ -114,7 +114,7 @@
         return any(current.get(name_of(each), each) != each for each in scoped)
 
     def is_successor_ready(self, seen: WitnessesSeen, streams: Iterable[str]) -> bool:
-        """Return whether the next holder may use all witnesses in reach."""
+        """Return whether the successor may use all reachable witnesses."""
         successor = self.successor
         if successor is None or not seen.sidecars:
             return False
@@ -131,7 +131,10 @@
 
 
 def return_free_tokens(holder: HolderState) -> dict[str, tuple[Record, ...]]:
-    """Return, by budget, what gives back all that is free; it is used no more."""
+    """Return, by budget, the records that return all free tokens.
+
+    The free amounts are set to zero, so the holder can reserve no more.
+    """
     return {
         budget: tuple(
             _return_grant(holder, budget, grant, own)
