--- a/libs/entry/src/clementinebend_entry/budget_waits.py
+++ b/libs/entry/src/clementinebend_entry/budget_waits.py
@@ -1,8 +1,9 @@
-"""Whether a request that found no grant waits or is refused; pure.
+"""Decides whether a request without a grant waits or is refused; no I/O.
 
-Near the end of a budget the upper bounds of runs in progress, not their
-costs, are what fills it. So a request waits while something may still free
-enough: settlements, grants that others hold, top-ups that are declared.
+Near the end of a budget, most of it is reserved at the upper bounds of the runs
+in progress rather than spent. A request therefore waits while enough tokens may
+still become free through settlements, grants that others hold, or declared
+top-ups.
 """
 
 from asyncio import Future
@@ -15,7 +16,7 @@
 from clementinebend_records.reasons import NotRun
 
 EXHAUSTED_RETRY_MS = 60_000
-"""Only a top-up helps, and operators make those by hand."""
+"""Long, as only a top-up helps and operators make top-ups by hand."""
 
 BUSY_RETRY_MS = 1_000
 SHORTEST_OUTAGE_RETRY_MS = 1_000
@@ -23,14 +24,14 @@
 MILLISECONDS = 1000
 BUSY_STATUS = 429
 MAX_LOG_OUTAGE_S = 1.0
-"""How long the log may fail before requests that need it are refused."""
+"""Log outage, in seconds, after which requests that need the log are refused."""
 
 PEERS_TIMEOUT_S = 1.0
-"""How long peers may take to say what they lend while the log fails."""
+"""How long to wait for peers' transfers during a log outage, in seconds."""
 
 
 class Reservation(NamedTuple):
-    """Tokens set aside for a run: part of one grant of one holder."""
+    """Tokens reserved for a run from one grant of one holder."""
 
     run: RunId
     budget: str
@@ -42,8 +43,8 @@
 class Waiter(NamedTuple):
     """A request that needs ``amount`` tokens by ``deadline`` (loop seconds).
 
-    It waits ``since`` then; ``has_asked`` says that peers were asked for a part
-    of their grants.
+    ``since`` is when it started to wait (loop seconds). ``has_asked_peers`` is set
+    once peers were asked to transfer a part of their grants.
     """
 
     run: RunId
@@ -56,11 +57,11 @@
 
 
 class BudgetView(NamedTuple):
-    """What is known of a budget and of the log when a waiter is judged.
+    """State of a budget and of the log that a refusal decision is based on.
 
-    ``declared`` are tokens of top-ups that the ledger does not have yet;
+    ``declared`` is the sum of declared top-ups that the ledger does not have yet;
     ``failing_for`` is how long the log has not answered, in seconds.
-    ``settling`` says that own runs in progress will likely free enough.
+    ``release_expected`` is set if this entry will likely have enough in time.
     """
 
     summary: BudgetSummary
@@ -70,7 +71,7 @@
 
 
 def refusal_of_waiter(waiter: Waiter, view: BudgetView, now: float) -> Refusal | None:
-    """Return why a request is given up on, or None while it is to wait."""
+    """Return the refusal of a request, or None while it should wait."""
     if view.release_expected and now < waiter.deadline:
         return None
     has_waited = now >= min(waiter.deadline, waiter.since + PEERS_TIMEOUT_S)
@@ -87,7 +88,7 @@
 
 
 def budget_busy_refusal() -> Refusal:
-    """Return the refusal of a request that waited in vain for a settlement."""
+    """Return the refusal of a request whose deadline passed while it waited."""
     message = "all of the budget that remains is reserved"
     return Refusal(NotRun.BUDGET_UNAVAILABLE, BUSY_RETRY_MS, message, BUSY_STATUS)
 
@@ -95,9 +96,9 @@
 def is_release_expected(
     holder: HolderState, waiter: Waiter, is_log_failing: bool, now: float
 ) -> bool:
-    """Return whether what is under way will likely be enough in time.
+    """Return whether enough tokens will likely become free before the deadline.
 
-    While the log does not answer, only a grant that this entry holds counts.
+    During a log outage, only the grants that this entry already holds count.
     """
     can_ask = not is_log_failing
     hint = wait_hint(holder, waiter.budget, waiter.amount, now, can_ask)
@@ -105,16 +106,16 @@
 
 
 def outage_retry_ms(failing_for: float) -> int:
-    """Return when to come back to a log that has failed for so many seconds.
+    """Return the retry delay for a log that has failed for ``failing_for`` seconds.
 
-    An outage of unknown length is likely to last as long again.
+    An outage of unknown length is expected to last as long again.
     """
     wanted = int(failing_for * MILLISECONDS)
     return min(LONGEST_OUTAGE_RETRY_MS, max(SHORTEST_OUTAGE_RETRY_MS, wanted))
 
 
 def remaining(view: BudgetView) -> int:
-    """Return the most that could ever become free without a new top-up."""
+    """Return the most tokens that can become free without another top-up."""
     summary = view.summary
     spent = summary.billed + summary.held + summary.shortfall
     return summary.topped_up + view.declared - spent
--- a/libs/entry/src/clementinebend_entry/claims.py
+++ b/libs/entry/src/clementinebend_entry/claims.py
@@ -82,7 +82,7 @@
         """Claim a call; None if the claim is not read back.
 
         It is given up at the deadline, or as soon as the log has failed for
-        ``LOG_PATIENCE_S``: the run then never starts, whatever replay says.
+        ``MAX_LOG_OUTAGE_S``: the run then never starts, whatever replay says.
         """
         verdict: Future[ClaimVerdict] = get_running_loop().create_future()
         self.waiting[run] = verdict
--- a/libs/entry/src/clementinebend_entry/posting.py
+++ b/libs/entry/src/clementinebend_entry/posting.py
@@ -1,4 +1,4 @@
-"""Records that the log's writer did not take: the holder plans them again."""
+"""Unmarks records that the log writer did not accept, to plan them again."""
 
 from collections.abc import Iterable
 from functools import singledispatch
@@ -11,10 +11,10 @@
 def unmark_posted(
     holder: HolderState, stream: str, records: Iterable[Record]
 ) -> HolderState:
-    """Undo the marks that say that these records are on their way.
+    """Clear the marks that these records were posted.
 
-    A return of tokens is not undone: they stay with the grant until its
-    holder is closed, which costs refusals and never overspend.
+    A return of tokens is not undone: the tokens stay with the grant until its
+    holder is closed. This can cause refusals but never overspending.
     """
     for record in records:
         _unmark(record, holder, stream)
