--- a/libs/entry/src/clementinebend_entry/receipts.py
+++ b/libs/entry/src/clementinebend_entry/receipts.py
@@ -1,9 +1,9 @@
-"""Makes receipts safe before the last frame, and tells when they are logged.
+"""Makes receipts safe before the last frame, and reports when they are logged.
 
-A receipt is safe on the log, or in two availability zones: with the sidecar
-and this entry if these differ, else with a peer entry of another zone. The
-declarations choose for each team whether two hosts of one zone will do while
-no other zone can be reached; a loss of both then costs one bill.
+A receipt is safe if it is on the log or stored in two availability zones: at the
+sidecar and this entry if their zones differ, otherwise also at a peer entry of
+another zone. The declarations set for each team whether two hosts of one zone
+suffice while no other zone can be reached; losing both hosts then loses the bill.
 """
 
 from asyncio import FIRST_COMPLETED, Future, create_task, get_running_loop, wait
@@ -20,23 +20,23 @@
 
 
 class ReceiptReplicas(Protocol):
-    """Where receipts are kept."""
+    """The sidecars and peers that store receipts."""
 
     def notify_sidecar(self, endpoint: str, logged: ReceiptsLogged) -> bool:
-        """Tell a sidecar which receipts are on the log; false if out of reach."""
+        """Notify a sidecar of logged receipts; false if it is unreachable."""
 
     def is_cut_off(self, budget: str) -> bool:
-        """Return whether a receipt cannot leave this availability zone."""
+        """Return whether neither the log nor a peer of another zone is available."""
 
     async def keep_at_peer(self, receipt: Receipt) -> bool:
-        """Have a peer of another zone keep a receipt."""
+        """Store a receipt at a peer of another zone; false if none stored it."""
 
     def forget_at_peer(self, run: RunId) -> None:
-        """Tell the peer that keeps a receipt that it is on the log."""
+        """Notify the peer that stores a receipt that it is on the log."""
 
 
 class ReceiptTracker:
-    """Knows which receipts wait for their bill to be read back."""
+    """Tracks receipts until replay shows their bills."""
 
     def __init__(self, zone: str, replicas: ReceiptReplicas) -> None:
         self.zone = zone
@@ -47,11 +47,11 @@
         self.pending_notices: defaultdict[str, list[RunId]] = defaultdict(list)
 
     def expect(self, key: RequestKey, run: RunId, endpoint: str) -> None:
-        """Remember who keeps the receipt of a run until its key is billed."""
+        """Record which endpoint stores the receipt of a run until its key is billed."""
         self.waiting[key].append((run, endpoint))
 
     def on_logged(self, bill: Bill) -> None:
-        """Take in that a key is billed on the log."""
+        """Handle a bill that is on the log for its request key."""
         future = self.logged.pop(bill.key, None)
         if future is not None and not future.done():
             future.set_result(None)
@@ -62,20 +62,23 @@
             get_running_loop().call_soon(self.notify_sidecars)
 
     def notify_sidecars(self) -> None:
-        """Tell sidecars which receipts need no more keeping."""
+        """Notify sidecars of receipts that they may delete."""
         for endpoint, runs in tuple(self.pending_notices.items()):
             if self.replicas.notify_sidecar(endpoint, ReceiptsLogged(tuple(runs))):
                 del self.pending_notices[endpoint]
 
     def unsafe_zone(self, call: Call) -> str:
-        """Return the zone whose receipts could not be made safe; empty if none."""
+        """Return the zone in which receipts cannot be made safe; empty if none."""
         needs_zones = call.receipt_safety is ReceiptSafety.TWO_ZONES
         return (
             self.zone if needs_zones and self.replicas.is_cut_off(call.budget) else ""
         )
 
     async def make_safe(self, receipt: Receipt, call: Call, zone: str) -> bool:
-        """Return once a receipt is safe; false if that cannot be had in time."""
+        """Wait until a receipt is safe; false if the call's deadline passes first.
+
+        Teams that accept two hosts of one zone do not wait for the log.
+        """
         if zone != self.zone:
             return _count_safe("zones")
         logged = self.logged_future(receipt.key)
@@ -93,7 +96,7 @@
         return _count_safe("log") if logged.done() else False
 
     def logged_future(self, key: RequestKey) -> Future[None]:
-        """Return the future of a key's bill being read back."""
+        """Return the future that completes when replay shows a key's bill."""
         if key not in self.logged:
             self.logged[key] = get_running_loop().create_future()
         return self.logged[key]
