--- a/libs/entry/src/clementinebend_entry/kept_receipts.py
+++ b/libs/entry/src/clementinebend_entry/kept_receipts.py
@@ -1,7 +1,7 @@
-"""Receipts kept for other entries until their holders have logged them; pure.
+"""Store of receipts of other entries until their holders log them; no I/O.
 
-A receipt is never dropped to make room: when the store is full a new one is
-not kept, and its owner looks for another peer.
+A receipt is never evicted to make room: a full store rejects new receipts, and
+their owner tries another peer.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 
 class ReceiptStore(NamedTuple):
-    """Receipts by run, and the holders whose receipts are refused now."""
+    """Receipts by run, and the closed holders whose receipts are refused."""
 
     bound: int
     receipts: dict[RunId, Receipt]
@@ -25,7 +25,7 @@
 
 
 def keep_receipt(store: ReceiptStore, receipt: Receipt) -> tuple[ReceiptStore, bool]:
-    """Keep a receipt; false if there is no room or its holder is closed."""
+    """Store a receipt; false if the store is full or its holder is closed."""
     if receipt.run in store.receipts:
         return store, True
     if receipt.holder in store.closed or len(store.receipts) >= store.bound:
@@ -35,7 +35,7 @@
 
 
 def forget_receipts(store: ReceiptStore, runs: Iterable[RunId]) -> ReceiptStore:
-    """Forget receipts of runs whose bills are on the log."""
+    """Delete the receipts of runs whose bills are on the log."""
     for run in runs:
         store.receipts.pop(run, None)
     return store
@@ -44,7 +44,7 @@
 def close_receipts(
     store: ReceiptStore, holder: Incarnation
 ) -> tuple[ReceiptStore, tuple[Receipt, ...]]:
-    """Keep no more for ``holder``; return all that is known under it."""
+    """Refuse new receipts of ``holder``; return those stored."""
     store.closed.add(holder)
     known = tuple(
         receipt for receipt in store.receipts.values() if receipt.holder == holder
