--- a/libs/entry/src/clementinebend_entry/settles.py
+++ b/libs/entry/src/clementinebend_entry/settles.py
@@ -1,4 +1,4 @@
-"""Receipts as the records that bill them."""
+"""Conversion of receipts into the ledger records that bill them."""
 
 from collections.abc import Iterable
 from itertools import groupby
@@ -8,7 +8,7 @@
 
 
 def settle_records(receipts: Iterable[Receipt]) -> tuple[Record, ...]:
-    """Return the bills of receipts, by budget."""
+    """Return one settle record per budget with the bills of its receipts."""
     ordered = sorted(receipts, key=budget_of)
     return tuple(
         Settle(budget, tuple(map(bill_of, group)))
--- a/libs/entry/src/clementinebend_entry/top_ups.py
+++ b/libs/entry/src/clementinebend_entry/top_ups.py
@@ -1,7 +1,8 @@
-"""Declared top-ups that the ledger does not have are posted again; pure.
+"""Posts declared top-ups that the ledger does not have.
 
-The operator's command posts them first. Should it die in between, entries do
-so, one after another, and replay applies each id once.
+The operator's command declares a top-up and then posts it. If it fails in
+between, the entries post the top-up, each after a different delay, and replay
+applies each top-up id once.
 """
 
 from collections.abc import Iterable
@@ -15,21 +16,21 @@
 from clementinebend_records.records import TopUp
 
 FIRST_DELAY_S = 2.0
-"""How long the operator's command has before an entry posts."""
+"""Time for the operator's command to post before the first entry does."""
 
 STAGGER_S = 3.0
 CHECK_INTERVAL_S = 0.5
 
 
 class TopUpWatch(NamedTuple):
-    """Since when each top-up is missing, and those posted already."""
+    """When each top-up was first seen missing, and those already posted."""
 
     missing: dict[tuple[str, str], float]
     posted: set[tuple[str, str]]
 
 
 def empty_watch() -> TopUpWatch:
-    """Return a watch that has seen nothing."""
+    """Return a watch without missing or posted top-ups."""
     return TopUpWatch({}, set())
 
 
@@ -56,7 +57,11 @@
     entries: Iterable[str],
     now: float,
 ) -> tuple[TopUpWatch, tuple[TopUp, ...]]:
-    """Return the top-ups that this entry is to post now."""
+    """Return the top-ups that this entry should post now.
+
+    Rendezvous hashing orders the entries for each top-up, and each place in the
+    order adds ``STAGGER_S`` to the delay.
+    """
     names = sorted({name, *entries})
     due = []
     for top_up in missing:
@@ -71,7 +76,7 @@
 
 
 class TopUpPoster:
-    """Posts the top-ups that are due; ``entries`` are the others in reach."""
+    """Posts due top-ups; ``entries`` are the reachable other entries."""
 
     def __init__(self, name: str, shards: Shards) -> None:
         self.name = name
@@ -82,12 +87,12 @@
         self.next_check = 0.0
 
     def missing(self, budget: str) -> tuple[TopUp, ...]:
-        """Return the declared top-ups of a budget that are not applied."""
+        """Return the declared top-ups of a budget that are not applied yet."""
         state = self.shards.of_budget(budget).state
         return missing_top_ups(self.declarations, budget, state)
 
     def post_due(self, now: float) -> None:
-        """Post what the ledger still does not have; looks about once a second."""
+        """Post the top-ups that are due, checking every ``CHECK_INTERVAL_S``."""
         if now < self.next_check:
             return
         self.next_check = now + CHECK_INTERVAL_S
