--- a/libs/entry/src/clementinebend_entry/lost_runs.py
+++ b/libs/entry/src/clementinebend_entry/lost_runs.py
@@ -1,23 +1,23 @@
-"""Runs that were dispatched and did not give the caller's answer.
-
-A request key is billed once, whatever its runs cost the engines. So when an
-idempotent request is run again, the reservation of the earlier run stays
-until the key has a bill:
-
-* a later run gives a receipt: the key is billed with it, no other bill of the
-  key can be charged any more, and the earlier reservation comes back whole.
-  The tokens that the earlier run used up are the provider's loss;
-* no later run gives one, and the earlier run failed with a receipt: that is
-  the bill;
-* no later run gives one, and the earlier sidecar is gone or cannot say: its
-  cost will never be known, so the whole reservation is held (``held`` bill)
-  until an operator resolves it;
-* no later run gives one, and the earlier sidecar cannot be reached: it is
-  asked again when it can be. The run's opening is then repeated with no time
-  left, so a run that never started is refused for ever and costs nothing.
-
-Should some other witness log a bill of an earlier run first, replay charges
-that one and the later bill is a repeat: still one charge.
+"""Runs that were dispatched but did not produce the caller's answer.
+
+A request key is billed once, whatever its runs cost the engines. When an
+idempotent request is run again, the reservation of the earlier run is kept until
+the key has a bill:
+
+* a later run produces a receipt: the key is billed with it, no other bill of the
+  key can be charged, and the earlier reservation is released in full. The
+  provider bears the cost of the tokens that the earlier run used;
+* no later run produces a receipt, and the earlier run failed with one: the key is
+  billed with that receipt;
+* no later run produces a receipt, and the earlier sidecar is gone or does not
+  know the cost: the whole reservation is held (``held`` bill) until an operator
+  resolves it;
+* no later run produces a receipt, and the earlier sidecar is unreachable: it is
+  asked again once it is reachable. The open message is then repeated with no time
+  left, so a run that never started is refused permanently and costs nothing.
+
+If another witness logs a bill of an earlier run first, replay charges that bill
+and treats the later one as a repeat, so the key is still charged once.
 """
 
 from asyncio import create_task
@@ -50,7 +50,7 @@
 
 
 class LostRun(NamedTuple):
-    """A dispatched run without an answer for the caller, and why."""
+    """A dispatched run that gave the caller no answer, and its result."""
 
     key: RequestKey
     reservation: Reservation
@@ -59,20 +59,23 @@
 
 
 def release_lost(services: Services, lost: Sequence[LostRun]) -> None:
-    """Free the reservations of earlier runs: the key has a bill."""
+    """Free the reservations of earlier runs of a key that has a bill."""
     for run in lost:
         services.ledger.take(ReservationCancelled(run.reservation.run))
         expect_receipt(services, run)
 
 
 def resolve_lost(services: Services, lost: Sequence[LostRun]) -> None:
-    """Settle runs of a key for which no run gave a whole answer."""
+    """Settle the runs of a key without a complete answer.
+
+    Runs that failed with a receipt come first.
+    """
     for run in sorted(lost, key=lambda each: not isinstance(each.result, RunBroke)):
         _resolve(run.result, run, services)
 
 
 def expect_receipt(services: Services, run: LostRun) -> None:
-    """Have the sidecar forget its receipt once the key is billed."""
+    """Have the sidecar delete its receipt once the key is billed."""
     endpoint = run.follower.link.address.endpoint
     executed = run.reservation.run
     if isinstance(run.result, RunBroke | RunWhole):
@@ -81,7 +84,10 @@
 
 
 def bill(services: Services, run: LostRun, receipt: Receipt) -> None:
-    """Bill a run by its receipt; one that was executed before frees the ticket."""
+    """Bill a run with its receipt.
+
+    If the receipt is of an earlier run of the key, the reservation is released.
+    """
     if receipt.run != run.reservation.run:
         services.ledger.take(ReservationCancelled(run.reservation.run))
     services.receipts.expect(receipt.key, receipt.run, receipt.endpoint)
@@ -89,7 +95,7 @@
 
 
 def lost_runs_error(lost: Sequence[LostRun]) -> Failed | Unknown:
-    """Return what the caller is told when none of the runs was whole."""
+    """Return the caller's error when no run gave a complete answer."""
     broke = (run.result for run in lost if isinstance(run.result, RunBroke))
     first = next(broke, None)
     if first is None:
@@ -99,7 +105,7 @@
 
 @singledispatch
 def _resolve(result: Any, run: LostRun, services: Services) -> None:
-    raise TypeError(f"no way to resolve {result!r}")
+    raise TypeError(f"cannot resolve a run with result {result!r}")
 
 
 @_resolve.register
@@ -126,7 +132,7 @@
 
 
 async def _recover(run: LostRun, services: Services) -> None:
-    """Ask the sidecar what became of a run, once it can be reached."""
+    """Ask the sidecar for the result of a run once it is reachable."""
     UNRESOLVED_RUNS.inc()
     try:
         follower = run.follower
--- a/libs/entry/src/clementinebend_entry/run_account.py
+++ b/libs/entry/src/clementinebend_entry/run_account.py
@@ -1,4 +1,4 @@
-"""What one call has reserved and what its runs so far have cost."""
+"""The reservation of one call and the outcomes of its runs."""
 
 from clementinebend_entry.budget_waits import Reservation
 from clementinebend_entry.calls import Call
@@ -18,7 +18,7 @@
 
 
 class RunAccount:
-    """Reserves, settles and withdraws for one call; see ``lost_runs``."""
+    """Reserves, settles and cancels for one call; see ``lost_runs``."""
 
     def __init__(self, services: Services, call: Call) -> None:
         self.services = services
@@ -28,7 +28,7 @@
         self.tokens = 0
 
     async def reserve(self, run: RunId) -> Refusal | None:
-        """Set tokens aside for a run, unless that is done."""
+        """Reserve tokens for a run, unless the call has a reservation."""
         if self.reservation is not None:
             return None
         call = self.call
@@ -41,20 +41,20 @@
         return None
 
     def withdraw(self) -> None:
-        """Free the reservation of a run that did not take place."""
+        """Cancel the reservation of a run that did not take place."""
         if self.reservation is not None:
             self.services.ledger.take(ReservationCancelled(self.reservation.run))
             self.reservation = None
 
     def lose(self, result: RunResult, follower: Follower) -> None:
-        """Keep a run whose cost the key may still have to bear."""
+        """Record a run without an answer, whose cost may still be billed to the key."""
         if self.reservation is not None:
             lost = LostRun(self.call.key, self.reservation, follower, result)
             self.lost.append(lost)
             self.reservation = None
 
     def settle(self, result: RunWhole | RunBroke, follower: Follower) -> None:
-        """Bill the key with a run's receipt: no earlier run bears a cost."""
+        """Bill the key with a run's receipt and release all lost runs."""
         receipt = result.receipt
         self.tokens = max(1, receipt.amount)
         if self.reservation is not None:
@@ -68,10 +68,10 @@
         self.lost.clear()
 
     def resolve(self) -> None:
-        """Settle the runs that gave no whole answer; there are no more."""
+        """Settle the lost runs once no further run will be started."""
         resolve_lost(self.services, self.lost)
         self.lost.clear()
 
     def trouble(self) -> Failed | Unknown | None:
-        """Return what the caller is told of lost runs; None if there are none."""
+        """Return the error that the caller gets for lost runs; None without any."""
         return lost_runs_error(self.lost) if self.lost else None
