--- a/libs/entry/src/clementinebend_entry/local_witness.py
+++ b/libs/entry/src/clementinebend_entry/local_witness.py
@@ -1,4 +1,4 @@
-"""The entry itself as a witness of other entries' holders."""
+"""The local entry's role as a witness for other entries' holders."""
 
 from clementinebend_entry.lender import Lender
 from clementinebend_entry.receipt_keeper import ReceiptKeeper
@@ -9,7 +9,7 @@
 
 
 class LocalWitness:
-    """Refuses closed holders and tells what is kept under them."""
+    """Refuses closed holders and reports the receipts stored for them."""
 
     def __init__(self, lender: Lender, keeper: ReceiptKeeper) -> None:
         self.lender = lender
@@ -17,15 +17,15 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The holder that this entry is now."""
+        """The incarnation of this entry's current holder."""
         return self.lender.incarnation
 
     def close(self, stream: str, holder: Incarnation) -> CloseReply:
-        """Refuse a closed holder and tell what is known under it.
+        """Refuse a closed holder and report the receipts stored for it.
 
-        If parts of its grants were taken and are not logged yet, this entry
-        acknowledges by itself, in the batch that logs them; until that is
-        read the reply says that the notice is to be repeated.
+        If transfers from its grants were accepted but are not logged yet, this
+        entry logs them and its acknowledgement in one batch. Until that batch is
+        replayed, the reply asks for the notice to be repeated.
         """
         receipts = self.keeper.close(holder)
         parts = self.lender.refuse(holder)
