--- a/tests/unit/entry/builders.py
+++ b/tests/unit/entry/builders.py
@@ -1,4 +1,4 @@
-"""Small declarations and requests for tests of the entry."""
+"""Builders of declarations, requests and calls for tests of the entry."""
 
 from hashlib import sha256
 from json import dumps
@@ -68,7 +68,7 @@
 
 
 def parsed(made: Request) -> Any:
-    """Return the call of a request, or why there is none."""
+    """Return the parsed call of a request, or the parse error."""
     result = parse_call(made, directory(), NOW)
     return result.ok if result.is_ok() else result.error
 
--- a/tests/unit/entry/test_keeping.py
+++ b/tests/unit/entry/test_keeping.py
@@ -1,4 +1,4 @@
-"""Pointers, receipts and closes: what entries keep for one another."""
+"""Tests of pointers, receipts and closes that entries handle for each other."""
 
 from asyncio import Event, create_task, wait_for
 from time import monotonic
@@ -90,7 +90,7 @@
 
 
 class TrackerHarness:
-    """A receipt tracker, and the replicas where a peer keeps receipts or not."""
+    """A receipt tracker whose replicas store receipts at a peer if ``keeps``."""
 
     def __init__(self, keeps: bool) -> None:
         self.keeps = keeps
--- a/tests/unit/entry/test_ledger.py
+++ b/tests/unit/entry/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger task against the platform's log in memory."""
+"""Tests of the ledger task with an in-memory log."""
 
 from asyncio import Task, create_task, gather, wait_for
 from collections.abc import AsyncIterator, Callable
@@ -46,11 +46,11 @@
 OPERATOR = Incarnation("operator#1")
 SIDECAR = Incarnation("engine-1#a")
 LONG = 60.0
-"""Seconds; only a test that fails reaches it."""
+"""Timeout in seconds that only failing tests reach."""
 
 
 class Listener:
-    """Remembers what the ledger tells."""
+    """Records the notifications of the ledger."""
 
     def __init__(self) -> None:
         self.logged: list[Bill] = []
@@ -71,7 +71,7 @@
 
 
 class LedgerHarness:
-    """One entry's ledger over a log in memory."""
+    """One entry's ledger with an in-memory log."""
 
     def __init__(self, log: FakeLog) -> None:
         self.log = log
@@ -88,12 +88,12 @@
         await self.log.wake()
 
     async def until(self, condition: Callable[[LedgerState], bool]) -> LedgerState:
-        """Wait until the log replays to a state."""
+        """Wait until the replayed log satisfies ``condition``."""
         await wait_for(self.log.wait_until(lambda: condition(self.replayed())), LONG)
         return self.replayed()
 
     async def until_here(self, condition: Callable[[], bool]) -> None:
-        """Wait until the entry has read what makes ``condition`` hold."""
+        """Wait until the entry has replayed enough for ``condition`` to hold."""
         while not condition():
             self.ledger.changed.clear()
             await wait_for(self.ledger.changed.wait(), LONG)
