--- a/tests/unit/entry/test_ledger.py
+++ b/tests/unit/entry/test_ledger.py
@@ -158,7 +158,7 @@
         assert harness.ledger.is_settled
 
 
-async def test_near_the_end_a_request_waits_for_a_settlement() -> None:
+async def test_request_waits_while_settlement_may_free_enough() -> None:
     async with running_ledger() as harness:
         first = await harness.reserved("r1", 900)
         waiting = create_task(harness.reserve("r2", 900))
@@ -169,7 +169,7 @@
         assert isinstance(second, Reservation)
 
 
-async def test_a_grant_in_hand_serves_while_the_log_is_down() -> None:
+async def test_held_grant_serves_during_log_outage() -> None:
     async with running_ledger() as harness:
         first = await harness.reserved("r1", 300)
         harness.ledger.take(ReservationCancelled(first.run))
@@ -184,7 +184,7 @@
         assert budget_summary(state, BUDGET).billed == 10
 
 
-def test_an_outage_is_taken_to_last_as_long_again() -> None:
+def test_retry_delay_equals_outage_within_bounds() -> None:
     assert [outage_retry_ms(seconds) for seconds in (0.0, 7.5, 900.0)] == [
         1_000,
         7_500,
@@ -192,7 +192,7 @@
     ]
 
 
-async def test_a_request_that_leaves_frees_what_it_waited_for() -> None:
+async def test_cancelled_request_leaves_no_waiter() -> None:
     async with running_ledger() as harness:
         first = await harness.reserved("r1", 900)
         waiting = create_task(harness.reserve("r2", 500))
@@ -204,7 +204,7 @@
         assert harness.ledger.waiters == {}
 
 
-async def test_a_closed_holder_goes_on_as_another_and_bills_what_ran() -> None:
+async def test_closed_holder_is_replaced_and_its_runs_are_billed() -> None:
     async with running_ledger() as harness:
         harness.ledger.take(WitnessesSeen((SIDECAR,), ()))
         first = await harness.reserved("r1", 100)
@@ -222,7 +222,7 @@
         assert SIDECAR in state.holders[second.holder]["sidecars"]
 
 
-async def test_another_holders_receipt_is_billed_by_who_saw_it() -> None:
+async def test_receipt_of_foreign_holder_is_billed() -> None:
     async with running_ledger() as harness:
         other = Incarnation("entry-2#x")
         await harness.write(GrantRequest(BUDGET, other, GrantId("g2"), 500))
@@ -233,7 +233,7 @@
         assert state.grants[GrantId("g2")]["remainder"] == 430
 
 
-async def test_what_cannot_be_proved_is_held_whole() -> None:
+async def test_run_of_unknown_cost_is_held_in_full() -> None:
     async with running_ledger() as harness:
         reservation = await harness.reserved("r1", 120)
         harness.ledger.take(CostUnknown(reservation.run, RequestKey("k")))
