--- a/tests/unit/entry/test_keeping.py
+++ b/tests/unit/entry/test_keeping.py
@@ -54,7 +54,7 @@
     return PointerPut(1, key, "digest", RunId(run), f"endpoint-of-{run}")
 
 
-def test_the_first_pointer_stands_until_its_own_run_drops_it() -> None:
+def test_first_pointer_remains_until_its_run_drops_it() -> None:
     store, first = put_pointer(empty_pointers(9), put("r1"), 0.0)
     store, second = put_pointer(store, put("r2"), 1.0)
     assert first.run == second.run == "r1"
@@ -125,7 +125,7 @@
         (ReceiptSafety.TWO_HOSTS, "zone-a", False),
     ],
 )
-async def test_a_receipt_is_safe_in_two_zones_or_as_the_team_chose(
+async def test_receipt_is_safe_in_two_zones_or_by_team_setting(
     safety: ReceiptSafety, zone: str, keeps: bool
 ) -> None:
     call = chat_call(receipt_safety=safety, deadline=monotonic() + LONG)
@@ -134,7 +134,7 @@
     )
 
 
-async def test_without_a_second_zone_a_strict_team_waits_for_the_log() -> None:
+async def test_two_zone_team_waits_for_log_without_other_zone() -> None:
     harness = TrackerHarness(keeps=False)
     tracker = harness.tracker
     call = chat_call(
@@ -150,7 +150,7 @@
     assert not await tracker.make_safe(receipt("r2"), late, "zone-a")
 
 
-async def test_sidecars_out_of_reach_hear_later_what_is_logged() -> None:
+async def test_unreachable_sidecars_are_notified_later() -> None:
     harness = TrackerHarness(keeps=True)
     harness.is_up = False
     harness.tracker.expect(KEY, RunId("r1"), "engine-1")
@@ -194,7 +194,7 @@
     assert gone_peers(notices, current, state) == (peer,)
 
 
-def test_an_entry_that_writes_is_alive_and_each_close_doubles_patience() -> None:
+def test_writes_prove_liveness_and_each_close_doubles_limit() -> None:
     reach = Reach(("entry-2",), 5.0, 0.0)
     reach.on_hosts((), 0.0)
     assert reach.overdue(100.0)["entry-2"] > 0
@@ -206,7 +206,7 @@
     assert reach.overdue(1000.0) == {}
 
 
-def test_partners_are_of_both_kinds_and_never_oneself() -> None:
+def test_partners_span_own_and_other_zones_without_self() -> None:
     zones = {f"entry-{n}": f"zone-{n % 3}" for n in range(20)}
     for name in zones:
         chosen = partners(name, zones)
