--- a/libs/entry/src/clementinebend_entry/borrower.py
+++ b/libs/entry/src/clementinebend_entry/borrower.py
@@ -40,9 +40,9 @@
         is not accepted.
         """
         amount = sum(waiter.amount for waiter in waiters)
-        least = min(waiter.amount for waiter in waiters)
+        min_amount = min(waiter.amount for waiter in waiters)
         for name in self.peers.creditors():
-            received = await self.peers.ask_transfer(name, budget, amount, least)
+            received = await self.peers.ask_transfer(name, budget, amount, min_amount)
             amount -= received
             TRANSFERS.labels("received" if received else "nothing").inc()
             if amount <= 0:
--- a/tests/unit/entry/test_keeping.py
+++ b/tests/unit/entry/test_keeping.py
@@ -47,7 +47,7 @@
 DEAD = Incarnation("entry-2#old")
 OWN = Incarnation("entry-1#now")
 SIDECAR = Incarnation("engine-1#a")
-LONG = 30.0
+TIMEOUT_S = 30.0
 
 
 def put(run: str, key: RequestKey = KEY) -> PointerPut:
@@ -128,9 +128,9 @@
 async def test_receipt_is_safe_in_two_zones_or_by_team_setting(
     safety: ReceiptSafety, zone: str, keeps: bool
 ) -> None:
-    call = chat_call(receipt_safety=safety, deadline=monotonic() + LONG)
+    call = chat_call(receipt_safety=safety, deadline=monotonic() + TIMEOUT_S)
     assert await wait_for(
-        TrackerHarness(keeps).tracker.make_safe(receipt("r1"), call, zone), LONG
+        TrackerHarness(keeps).tracker.make_safe(receipt("r1"), call, zone), TIMEOUT_S
     )
 
 
@@ -138,14 +138,14 @@
     harness = TrackerHarness(keeps=False)
     tracker = harness.tracker
     call = chat_call(
-        receipt_safety=ReceiptSafety.TWO_ZONES, deadline=monotonic() + LONG
+        receipt_safety=ReceiptSafety.TWO_ZONES, deadline=monotonic() + TIMEOUT_S
     )
     assert tracker.unsafe_zone(call) == "zone-a"
     waiting = create_task(tracker.make_safe(receipt("r1"), call, "zone-a"))
-    await wait_for(harness.asked.wait(), LONG)
+    await wait_for(harness.asked.wait(), TIMEOUT_S)
     assert not waiting.done()
     tracker.on_logged(Bill(KEY, RunId("r1"), GrantId("g"), 5))
-    assert await wait_for(waiting, LONG)
+    assert await wait_for(waiting, TIMEOUT_S)
     late = call._replace(deadline=monotonic())
     assert not await tracker.make_safe(receipt("r2"), late, "zone-a")
 
@@ -156,7 +156,7 @@
     harness.tracker.expect(KEY, RunId("r1"), "engine-1")
     harness.tracker.expect(KEY, RunId("r0"), "engine-2")
     harness.tracker.on_logged(Bill(KEY, RunId("r1"), GrantId("g"), 5))
-    await wait_for(harness.posted.wait(), LONG)
+    await wait_for(harness.posted.wait(), TIMEOUT_S)
     assert harness.told == []
     harness.is_up = True
     harness.tracker.notify_sidecars()
--- a/tests/unit/entry/test_ledger.py
+++ b/tests/unit/entry/test_ledger.py
@@ -45,7 +45,7 @@
 BUDGET = "desk-2026"
 OPERATOR = Incarnation("operator#1")
 SIDECAR = Incarnation("engine-1#a")
-LONG = 60.0
+TIMEOUT_S = 60.0
 """Timeout in seconds that only failing tests reach."""
 
 
@@ -89,14 +89,16 @@
 
     async def until(self, condition: Callable[[LedgerState], bool]) -> LedgerState:
         """Wait until the replayed log satisfies ``condition``."""
-        await wait_for(self.log.wait_until(lambda: condition(self.replayed())), LONG)
+        await wait_for(
+            self.log.wait_until(lambda: condition(self.replayed())), TIMEOUT_S
+        )
         return self.replayed()
 
-    async def until_here(self, condition: Callable[[], bool]) -> None:
+    async def until_replayed(self, condition: Callable[[], bool]) -> None:
         """Wait until the entry has replayed enough for ``condition`` to hold."""
         while not condition():
             self.ledger.changed.clear()
-            await wait_for(self.ledger.changed.wait(), LONG)
+            await wait_for(self.ledger.changed.wait(), TIMEOUT_S)
 
     def replayed(self) -> LedgerState:
         state = empty_ledger()
@@ -105,7 +107,7 @@
         return state
 
     async def reserve(
-        self, run: str, amount: int, patience: float = LONG
+        self, run: str, amount: int, patience: float = TIMEOUT_S
     ) -> Reservation | Refusal:
         deadline = self.ledger.loop.time() + patience
         return await self.ledger.reserve(RunId(run), BUDGET, amount, deadline)
@@ -129,7 +131,7 @@
     harness = LedgerHarness(FakeLog())
     await harness.write(TopUp(BUDGET, "first", tokens, "jana"))
     task: Task[Any] = create_task(harness.ledger.run())
-    await wait_for(harness.ledger.shards.by_stream[STREAM].tail.ready.wait(), LONG)
+    await wait_for(harness.ledger.shards.by_stream[STREAM].tail.ready.wait(), TIMEOUT_S)
     try:
         yield harness
     finally:
@@ -144,7 +146,7 @@
         assert reservation.holder == harness.ledger.incarnation
         harness.ledger.take(ReceiptReceived(receipt(reservation, 30)))
         harness.ledger.take(ReceiptReceived(receipt(reservation, 30)))
-        await wait_for(harness.ledger.until_settled(), LONG)
+        await wait_for(harness.ledger.until_settled(), TIMEOUT_S)
         summary = budget_summary(harness.replayed(), BUDGET)
         assert summary.billed == 30
         assert [bill.amount for bill in harness.listener.logged][:1] == [30]
@@ -165,7 +167,7 @@
         await harness.until(lambda state: state.offset > 2)
         assert not waiting.done()
         harness.ledger.take(ReceiptReceived(receipt(first, 50)))
-        second = await wait_for(waiting, LONG)
+        second = await wait_for(waiting, TIMEOUT_S)
         assert isinstance(second, Reservation)
 
 
@@ -208,15 +210,17 @@
     async with running_ledger() as harness:
         harness.ledger.take(WitnessesSeen((SIDECAR,), ()))
         first = await harness.reserved("r1", 100)
-        await harness.until_here(lambda: harness.ledger.is_witness(BUDGET, SIDECAR))
+        await harness.until_replayed(lambda: harness.ledger.is_witness(BUDGET, SIDECAR))
         await harness.write(HolderClose(first.holder, OPERATOR))
-        await harness.until_here(lambda: harness.listener.rotations == 1)
+        await harness.until_replayed(lambda: harness.listener.rotations == 1)
         assert harness.listener.closed == [first.holder]
         second = await harness.reserved("r2", 100)
         assert second.holder == harness.ledger.incarnation != first.holder
         harness.ledger.take(ReceiptReceived(receipt(first, 40)))
-        await wait_for(harness.until_here(lambda: bool(harness.listener.logged)), LONG)
-        await harness.until_here(lambda: harness.ledger.is_witness(BUDGET, SIDECAR))
+        await wait_for(
+            harness.until_replayed(lambda: bool(harness.listener.logged)), TIMEOUT_S
+        )
+        await harness.until_replayed(lambda: harness.ledger.is_witness(BUDGET, SIDECAR))
         state = harness.replayed()
         assert budget_summary(state, BUDGET).billed == 40
         assert SIDECAR in state.holders[second.holder]["sidecars"]
@@ -263,7 +267,7 @@
     async with running_ledger() as harness:
         reservation = await harness.reserved("r1", 100)
         harness.ledger.take(ReceiptReceived(receipt(reservation, 30)))
-        await wait_for(harness.ledger.until_settled(), LONG)
-        assert await harness.ledger.close(LONG)
+        await wait_for(harness.ledger.until_settled(), TIMEOUT_S)
+        assert await harness.ledger.close(TIMEOUT_S)
         summary = budget_summary(harness.replayed(), BUDGET)
         assert (summary.billed, summary.granted, summary.available) == (30, 0, 970)
