--- a/libs/entry/src/clementinebend_entry/closer.py
+++ b/libs/entry/src/clementinebend_entry/closer.py
@@ -14,13 +14,13 @@
     turn_delay,
 )
 from clementinebend_entry.ledger import Ledger
+from clementinebend_entry.local_witness import LocalWitness
 from clementinebend_entry.message_link import MessageLink
 from clementinebend_entry.metrics import CLOSES
-from clementinebend_entry.own_witness import OwnWitness
 from clementinebend_entry.peer_pool import PeerPool
 from clementinebend_entry.reach import Reach
-from clementinebend_entry.receipts import ReceiptDesk
-from clementinebend_entry.settles import settles_of
+from clementinebend_entry.receipts import ReceiptTracker
+from clementinebend_entry.settles import settle_records
 from clementinebend_entry.shard import LedgerShard
 from clementinebend_entry.sidecar_pool import SidecarPool
 from clementinebend_ledger.replay import LedgerState
@@ -47,8 +47,8 @@
         ledger: Ledger,
         sidecars: SidecarPool,
         peers: PeerPool,
-        receipts: ReceiptDesk,
-        own: OwnWitness,
+        receipts: ReceiptTracker,
+        own: LocalWitness,
         reach: Reach,
     ) -> None:
         self.ledger = ledger
@@ -175,7 +175,7 @@
         for receipt in known:
             self.receipts.expect(receipt.key, receipt.run, receipt.endpoint)
         ack = CloseAck(notice.holder, notice.witness, lost)
-        self.ledger.shards.post(shard, (*settles_of(known), ack))
+        self.ledger.shards.post(shard, (*settle_records(known), ack))
 
     def of_shard(
         self, receipts: Iterable[Receipt], shard: LedgerShard
--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -15,17 +15,17 @@
 from clementinebend_entry.configuration import ConfigurationKeeper
 from clementinebend_entry.heartbeat import heartbeat_interval
 from clementinebend_entry.ledger import Ledger
-from clementinebend_entry.ledger_events import PartReceived, WitnessesSeen
+from clementinebend_entry.ledger_events import TransferReceived, WitnessesSeen
 from clementinebend_entry.lender import Lender
+from clementinebend_entry.local_witness import LocalWitness
 from clementinebend_entry.lookup import Directory
-from clementinebend_entry.own_witness import OwnWitness
 from clementinebend_entry.peer_pool import PeerPool, entry_hello
 from clementinebend_entry.peer_server import PeerServer
 from clementinebend_entry.pointer_desk import PointerDesk
 from clementinebend_entry.reach import Reach
 from clementinebend_entry.receipt_keeper import ReceiptKeeper
-from clementinebend_entry.receipt_places import ReceiptPlaces
-from clementinebend_entry.receipts import ReceiptDesk
+from clementinebend_entry.receipt_replicas import RemoteReceiptReplicas
+from clementinebend_entry.receipts import ReceiptTracker
 from clementinebend_entry.router import Router
 from clementinebend_entry.services import Services
 from clementinebend_entry.settings import EntrySettings
@@ -73,7 +73,9 @@
         self.configuration = ConfigurationKeeper(
             log, settings.schema_version, self.on_configuration, stop.set
         )
-        self.keeper = ReceiptKeeper(settings.kept_receipts, self.ledger.post_foreign)
+        self.keeper = ReceiptKeeper(
+            settings.kept_receipts, self.ledger.bill_foreign_run
+        )
         self.pool = SidecarPool(
             settings.name, settings.subset_size, self.hello, self.on_sidecar_news
         )
@@ -83,15 +85,15 @@
         limits = self.configuration.configuration.declarations.limits
         self.gate = AdmissionGate(limits.retry_budget_ratio)
         self.peers = PeerPool(settings, self.hello, self.on_peer_news)
-        places = ReceiptPlaces(self.ledger, self.pool, self.peers)
-        self.receipts = ReceiptDesk(settings.zone, places)
+        replicas = RemoteReceiptReplicas(self.ledger, self.pool, self.peers)
+        self.receipts = ReceiptTracker(settings.zone, replicas)
         self.pointers = PointerDesk(settings.name, settings.kept_pointers, self.peers)
-        self.own_witness = OwnWitness(Lender(self.ledger), self.keeper)
+        self.local_witness = LocalWitness(Lender(self.ledger), self.keeper)
         self.borrower = Borrower(self.ledger, self.peers)
         self.peer_server = PeerServer(
             self.hello,
             self.pointers,
-            self.own_witness,
+            self.local_witness,
             self.configuration.give,
             stop.set,
         )
@@ -100,7 +102,7 @@
             self.pool,
             self.peers,
             self.receipts,
-            self.own_witness,
+            self.local_witness,
             self.reach,
         )
         self.services = Services(
@@ -157,7 +159,7 @@
 
     def on_closed(self, holder: Incarnation) -> None:
         """Take in that a holder is closed."""
-        self.keeper.bill_holder(holder)
+        self.keeper.bill_closed_holder(holder)
 
     def on_rotated(self) -> None:
         """Take in that this entry is a new holder."""
@@ -192,7 +194,7 @@
             self.router.note_leaving(news.name, news.hello.leaving)
         self.router.refresh()
         self.gate.set_slots(self.slots())
-        self.receipts.tell_sidecars()
+        self.receipts.notify_sidecars()
 
     @on_sidecar_news.register
     def _(self, news: LoadReport) -> None:
@@ -230,7 +232,7 @@
     @on_peer_news.register
     def _(self, news: TransferReply) -> None:
         if news.amount:
-            self.ledger.take(PartReceived(news))
+            self.ledger.take(TransferReceived(news))
 
     def see_witnesses(self) -> None:
         """Tell the ledger whom it may put in its scope."""
@@ -249,7 +251,7 @@
         """Bill receipts whose holders stay silent."""
         while True:
             await sleep(KEEPER_INTERVAL_S)
-            self.keeper.bill_forgotten()
+            self.keeper.bill_overdue()
 
     async def watch_hosts(self) -> None:
         """Read the platform's list of hosts again and again."""
--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -1,9 +1,10 @@
 """The task that owns this entry's grants and its view of the ledger shards.
 
-It reserves, settles and cancels in memory, and appends what follows with the
-writers' next group commits. One holder incarnation covers all shards; when
-replay shows it closed in any of them the entry goes on as a new one, and what
-runs under the old one is still billed by it.
+Reservations, settlements and cancellations change the state in memory; the
+resulting records are appended in the next group commit of each shard's writer.
+One holder incarnation covers all shards. When replay shows that it is closed in
+any shard, the entry switches to a new holder; runs reserved under the old holder
+are still billed to it.
 """
 
 from asyncio import Event, Future, get_running_loop, timeout, timeout_at
@@ -15,15 +16,15 @@
 from clementinebend_entry.holders import Holders
 from clementinebend_entry.judging import judge_all
 from clementinebend_entry.ledger_events import (
-    Finished,
+    CostUnknown,
     LedgerEvent,
-    PartReceived,
+    ReceiptReceived,
     Replayed,
+    ReservationCancelled,
+    ReservationRequested,
     Restored,
     Ticked,
-    Unproved,
-    Wanted,
-    Withdrawn,
+    TransferReceived,
     WitnessesSeen,
 )
 from clementinebend_entry.ledger_listener import LedgerListener
@@ -34,8 +35,8 @@
 )
 from clementinebend_entry.metrics import BUDGET_REFUSALS, HELD_BILLS
 from clementinebend_entry.outcomes import Refusal
-from clementinebend_entry.posting import forget_post
-from clementinebend_entry.settles import settles_of
+from clementinebend_entry.posting import unmark_posted
+from clementinebend_entry.settles import settle_records
 from clementinebend_entry.shard import LogSettings
 from clementinebend_entry.shards import Shards
 from clementinebend_entry.succession import Succession
@@ -79,15 +80,15 @@
         self.waiters: dict[RunId, Waiter] = {}
         self.dirty = Event()
         self.changed = Event()
-        self.shards = Shards(shards, log, self.take, self.take_back)
+        self.shards = Shards(shards, log, self.take, self.unmark_unwritten)
         self.top_ups = TopUpPoster(name, self.shards)
         self.succession = Succession(self.holders, self.shards, self.loop.time())
 
-    # Questions.
+    # Queries.
 
     @property
     def holder(self) -> HolderState:
-        """The holder in use."""
+        """The current holder."""
         return self.holders.current
 
     @holder.setter
@@ -96,12 +97,12 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The holder that new reservations are made under."""
+        """The incarnation of the holder that makes new reservations."""
         return self.holder.incarnation
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing is reserved and all bills were read back."""
+        """Whether nothing is reserved and replay has confirmed all bills."""
         return self.holders.is_settled
 
     def is_witness(self, budget: str, witness: Incarnation) -> bool:
@@ -117,14 +118,18 @@
     async def reserve(
         self, run: RunId, budget: str, amount: int, deadline: float
     ) -> Reservation | Refusal:
-        """Set tokens aside for a run, waiting for a grant if need be."""
+        """Reserve tokens for a run, waiting for a grant if necessary."""
         reply: Future[Reservation | Refusal] = self.loop.create_future()
         now = self.loop.time()
-        self.take(Wanted(Waiter(run, budget, max(1, amount), deadline, reply, now)))
+        self.take(
+            ReservationRequested(
+                Waiter(run, budget, max(1, amount), deadline, reply, now)
+            )
+        )
         try:
             answer = await reply
         except BaseException:
-            self.take(Withdrawn(run))
+            self.take(ReservationCancelled(run))
             raise
         if isinstance(answer, Reservation):
             return answer._replace(amount=amount)
@@ -134,21 +139,21 @@
     # Events.
 
     async def run(self) -> None:
-        """Append what is due, and judge those who wait, for ever."""
+        """Append due records and process waiting requests until cancelled."""
         while True:
             try:
                 async with timeout(BUSY_TICK_S if self.waiters else IDLE_TICK_S):
                     await self.dirty.wait()
             except TimeoutError:
                 waiting = (waiter.budget for waiter in self.waiters.values())
-                self.note_budgets(waiting)
+                self.refresh_budgets(waiting)
             self.dirty.clear()
             self.take(Ticked())
 
     @singledispatchmethod
     def take(self, event: LedgerEvent) -> None:
-        """Take in one event."""
-        raise TypeError(f"no ledger event: {event!r}")
+        """Apply one event."""
+        raise TypeError(f"unknown ledger event: {event!r}")
 
     @take.register
     def _(self, event: Replayed) -> None:
@@ -157,11 +162,11 @@
         own = self.holders.incarnations()
         for outcome in event.outcomes:
             count_outcome(outcome, own)
-            self.learn(outcome, now, event.stream)
+            self.apply_outcome(outcome, now, event.stream)
         if self.succession.go_over_if_due():
             self.listener.on_rotated()
         budgets = touched_budgets(event.outcomes)
-        self.note_budgets(self.holder.budgets if budgets is None else budgets)
+        self.refresh_budgets(self.holder.budgets if budgets is None else budgets)
         self.changed.set()
         self.dirty.set()
 
@@ -174,31 +179,31 @@
         self.dirty.set()
 
     @take.register
-    def _(self, event: Wanted) -> None:
+    def _(self, event: ReservationRequested) -> None:
         self.waiters[event.waiter.run] = event.waiter
-        if not self.try_waiter(event.waiter):
+        if not self.try_reserve(event.waiter):
             self.dirty.set()
 
     @take.register
-    def _(self, event: Withdrawn) -> None:
+    def _(self, event: ReservationCancelled) -> None:
         self.waiters.pop(event.run, None)
         self.holders.cancel(event.run)
         self.changed.set()
         self.dirty.set()
 
     @take.register
-    def _(self, event: Finished) -> None:
+    def _(self, event: ReceiptReceived) -> None:
         receipt = event.receipt
         holder = self.holders.find(receipt.run)
         if holder is None:
-            self.post_foreign(receipt)
+            self.bill_foreign_run(receipt)
         else:
             now = self.loop.time()
             settle(holder, receipt.run, receipt.key, receipt.amount, now=now)
         self.dirty.set()
 
     @take.register
-    def _(self, event: Unproved) -> None:
+    def _(self, event: CostUnknown) -> None:
         holder = self.holders.find(event.run)
         if holder is not None:
             amount = holder.runs[event.run].amount
@@ -212,7 +217,7 @@
         self.succession.widen()
 
     @take.register
-    def _(self, event: PartReceived) -> None:
+    def _(self, event: TransferReceived) -> None:
         self.holder = receive_transfer(self.holder, event.give)
         self.dirty.set()
 
@@ -220,27 +225,30 @@
     def _(self, event: Ticked) -> None:
         now = self.loop.time()
         waiting = tuple(self.waiters.values())
-        left = [waiter for waiter in waiting if not self.try_waiter(waiter)]
+        left = [waiter for waiter in waiting if not self.try_reserve(waiter)]
         for run, refusal in judge_all(left, self.holder, self.top_ups, now):
             self.waiters[run].reply.set_result(refusal)
-            self.take(Withdrawn(run))
+            self.take(ReservationCancelled(run))
         self.succession.prepare_if_due(now)
         self.succession.append_planned(now)
         self.top_ups.post_due(now)
 
     # Steps.
 
-    def learn(self, outcome: LedgerOutcome, now: float, stream: str) -> None:
-        """Hand an outcome of replay to the holders, and to who else needs it."""
-        self.holders.learn(outcome, now, stream)
+    def apply_outcome(self, outcome: LedgerOutcome, now: float, stream: str) -> None:
+        """Pass a replay outcome to the holders and the listener."""
+        self.holders.apply_outcome(outcome, now, stream)
         bill = logged_bill(outcome)
         if bill is not None:
             self.listener.on_logged(bill)
         if isinstance(outcome, HolderClosed):
             self.listener.on_closed(outcome.holder)
 
-    def try_waiter(self, waiter: Waiter) -> bool:
-        """Reserve for one who waits, if a grant has room."""
+    def try_reserve(self, waiter: Waiter) -> bool:
+        """Reserve for a waiting request if a grant has enough free tokens.
+
+        Returns whether the request has its reply.
+        """
         now = self.loop.time()
         if waiter.reply.done():
             return True
@@ -253,32 +261,36 @@
         waiter.reply.set_result(reservation)
         return True
 
-    def note_asked(self, waiters: Iterable[Waiter]) -> None:
-        """Take in that peers were asked for those who wait."""
+    def mark_peers_asked(self, waiters: Iterable[Waiter]) -> None:
+        """Record that peers were asked for tokens for these requests."""
         still = (waiter for waiter in waiters if waiter.run in self.waiters)
-        self.waiters |= {each.run: each._replace(has_asked=True) for each in still}
+        self.waiters |= {
+            each.run: each._replace(has_asked_peers=True) for each in still
+        }
         self.dirty.set()
 
-    def note_budgets(self, budgets: Iterable[str]) -> None:
-        """Tell the holder the accounts of budgets that it uses."""
+    def refresh_budgets(self, budgets: Iterable[str]) -> None:
+        """Update the holder with the account summaries of budgets that it uses."""
         now = self.loop.time()
         for budget in self.holder.budgets.keys() & set(budgets):
             summary = budget_summary(self.shards.of_budget(budget).state, budget)
             self.holder = observe_budget(self.holder, budget, summary, now)
 
-    def post_foreign(self, receipt: Receipt) -> None:
-        """Bill a run that another entry's holder reserved for."""
-        self.shards.post(self.shards.of_budget(receipt.budget), settles_of((receipt,)))
+    def bill_foreign_run(self, receipt: Receipt) -> None:
+        """Bill a run whose reservation belongs to another entry's holder."""
+        self.shards.post(
+            self.shards.of_budget(receipt.budget), settle_records((receipt,))
+        )
 
-    def take_back(self, stream: str, records: tuple[Record, ...]) -> None:
-        """Take back what the log's writer did not take."""
+    def unmark_unwritten(self, stream: str, records: tuple[Record, ...]) -> None:
+        """Unmark records that the log writer did not accept, to plan them again."""
         for holder in self.holders.all():
-            forget_post(holder, stream, records)
+            unmark_posted(holder, stream, records)
 
-    # Planned stop.
+    # Shutdown.
 
     async def until_changed(self, deadline: float) -> bool:
-        """Wait until more of the log is read; false if ``deadline`` comes first."""
+        """Wait until more of the log is read; false if ``deadline`` passes first."""
         self.changed.clear()
         try:
             async with timeout_at(deadline):
@@ -288,13 +300,13 @@
         return True
 
     async def until_settled(self) -> None:
-        """Wait until nothing is reserved and all bills were read back."""
+        """Wait until nothing is reserved and replay has confirmed all bills."""
         while not self.is_settled:
             self.changed.clear()
             await self.changed.wait()
 
     async def close(self, patience: float) -> bool:
-        """End the holder; return whether its clean close is on the log."""
+        """Close the holder; return whether its clean close is on the log."""
         is_clean = self.succession.end()
         await self.shards.close(patience)
         return is_clean and self.shards.is_flushed
--- a/tests/unit/entry/test_keeping.py
+++ b/tests/unit/entry/test_keeping.py
@@ -1,4 +1,4 @@
-"""Pointers, receipts and closes: what entries keep for one another."""
+"""Tests of pointers, receipts and closes that entries handle for each other."""
 
 from asyncio import Event, create_task, wait_for
 from time import monotonic
@@ -30,7 +30,7 @@
     put_pointer,
 )
 from clementinebend_entry.reach import Reach
-from clementinebend_entry.receipts import ReceiptDesk
+from clementinebend_entry.receipts import ReceiptTracker
 from clementinebend_ledger.replay import empty_ledger, replay
 from clementinebend_ledger.state import LedgerState
 from clementinebend_records.identifiers import GrantId, Incarnation, RequestKey, RunId
@@ -47,14 +47,14 @@
 DEAD = Incarnation("entry-2#old")
 OWN = Incarnation("entry-1#now")
 SIDECAR = Incarnation("engine-1#a")
-LONG = 30.0
+TIMEOUT_S = 30.0
 
 
 def put(run: str, key: RequestKey = KEY) -> PointerPut:
     return PointerPut(1, key, "digest", RunId(run), f"endpoint-of-{run}")
 
 
-def test_the_first_pointer_stands_until_its_own_run_drops_it() -> None:
+def test_first_pointer_remains_until_its_run_drops_it() -> None:
     store, first = put_pointer(empty_pointers(9), put("r1"), 0.0)
     store, second = put_pointer(store, put("r2"), 1.0)
     assert first.run == second.run == "r1"
@@ -89,8 +89,8 @@
     assert keep_receipt(store, receipt("r3", DEAD))[1]
 
 
-class Desk:
-    """A receipt desk, and the places where a peer keeps receipts or not."""
+class TrackerHarness:
+    """A receipt tracker whose replicas store receipts at a peer if ``keeps``."""
 
     def __init__(self, keeps: bool) -> None:
         self.keeps = keeps
@@ -98,9 +98,9 @@
         self.is_up = True
         self.asked = Event()
         self.posted = Event()
-        self.desk = ReceiptDesk("zone-a", self)
+        self.tracker = ReceiptTracker("zone-a", self)
 
-    def tell_sidecar(self, endpoint: str, logged: ReceiptsLogged) -> bool:
+    def notify_sidecar(self, endpoint: str, logged: ReceiptsLogged) -> bool:
         self.posted.set()
         if self.is_up:
             self.told.append((endpoint, logged))
@@ -125,45 +125,47 @@
         (ReceiptSafety.TWO_HOSTS, "zone-a", False),
     ],
 )
-async def test_a_receipt_is_safe_in_two_zones_or_as_the_team_chose(
+async def test_receipt_is_safe_in_two_zones_or_by_team_setting(
     safety: ReceiptSafety, zone: str, keeps: bool
 ) -> None:
-    call = chat_call(receipt_safety=safety, deadline=monotonic() + LONG)
-    assert await wait_for(Desk(keeps).desk.make_safe(receipt("r1"), call, zone), LONG)
+    call = chat_call(receipt_safety=safety, deadline=monotonic() + TIMEOUT_S)
+    assert await wait_for(
+        TrackerHarness(keeps).tracker.make_safe(receipt("r1"), call, zone), TIMEOUT_S
+    )
 
 
-async def test_without_a_second_zone_a_strict_team_waits_for_the_log() -> None:
-    made = Desk(keeps=False)
-    desk = made.desk
+async def test_two_zone_team_waits_for_log_without_other_zone() -> None:
+    harness = TrackerHarness(keeps=False)
+    tracker = harness.tracker
     call = chat_call(
-        receipt_safety=ReceiptSafety.TWO_ZONES, deadline=monotonic() + LONG
+        receipt_safety=ReceiptSafety.TWO_ZONES, deadline=monotonic() + TIMEOUT_S
     )
-    assert desk.unsafe_zone(call) == "zone-a"
-    waiting = create_task(desk.make_safe(receipt("r1"), call, "zone-a"))
-    await wait_for(made.asked.wait(), LONG)
+    assert tracker.unsafe_zone(call) == "zone-a"
+    waiting = create_task(tracker.make_safe(receipt("r1"), call, "zone-a"))
+    await wait_for(harness.asked.wait(), TIMEOUT_S)
     assert not waiting.done()
-    desk.on_logged(Bill(KEY, RunId("r1"), GrantId("g"), 5))
-    assert await wait_for(waiting, LONG)
+    tracker.on_logged(Bill(KEY, RunId("r1"), GrantId("g"), 5))
+    assert await wait_for(waiting, TIMEOUT_S)
     late = call._replace(deadline=monotonic())
-    assert not await desk.make_safe(receipt("r2"), late, "zone-a")
-
-
-async def test_sidecars_out_of_reach_hear_later_what_is_logged() -> None:
-    made = Desk(keeps=True)
-    made.is_up = False
-    made.desk.expect(KEY, RunId("r1"), "engine-1")
-    made.desk.expect(KEY, RunId("r0"), "engine-2")
-    made.desk.on_logged(Bill(KEY, RunId("r1"), GrantId("g"), 5))
-    await wait_for(made.posted.wait(), LONG)
-    assert made.told == []
-    made.is_up = True
-    made.desk.tell_sidecars()
-    assert made.told == [
+    assert not await tracker.make_safe(receipt("r2"), late, "zone-a")
+
+
+async def test_unreachable_sidecars_are_notified_later() -> None:
+    harness = TrackerHarness(keeps=True)
+    harness.is_up = False
+    harness.tracker.expect(KEY, RunId("r1"), "engine-1")
+    harness.tracker.expect(KEY, RunId("r0"), "engine-2")
+    harness.tracker.on_logged(Bill(KEY, RunId("r1"), GrantId("g"), 5))
+    await wait_for(harness.posted.wait(), TIMEOUT_S)
+    assert harness.told == []
+    harness.is_up = True
+    harness.tracker.notify_sidecars()
+    assert harness.told == [
         ("engine-1", ReceiptsLogged((RunId("r1"),))),
         ("engine-2", ReceiptsLogged((RunId("r0"),))),
     ]
-    made.desk.tell_sidecars()
-    assert len(made.told) == 2
+    harness.tracker.notify_sidecars()
+    assert len(harness.told) == 2
 
 
 def ledger(*records: Record) -> LedgerState:
@@ -192,7 +194,7 @@
     assert gone_peers(notices, current, state) == (peer,)
 
 
-def test_an_entry_that_writes_is_alive_and_each_close_doubles_patience() -> None:
+def test_writes_prove_liveness_and_each_close_doubles_limit() -> None:
     reach = Reach(("entry-2",), 5.0, 0.0)
     reach.on_hosts((), 0.0)
     assert reach.overdue(100.0)["entry-2"] > 0
@@ -204,7 +206,7 @@
     assert reach.overdue(1000.0) == {}
 
 
-def test_partners_are_of_both_kinds_and_never_oneself() -> None:
+def test_partners_span_own_and_other_zones_without_self() -> None:
     zones = {f"entry-{n}": f"zone-{n % 3}" for n in range(20)}
     for name in zones:
         chosen = partners(name, zones)
