--- a/libs/entry/src/clementinebend_entry/handler.py
+++ b/libs/entry/src/clementinebend_entry/handler.py
@@ -24,7 +24,7 @@
 UNAVAILABLE = 503
 TOO_LARGE = 413
 NOT_READY_RETRY_MS = 1_000
-OWN_PATHS = ("/healthz", "/readyz", "/metrics")
+OPERATIONAL_PATHS = ("/healthz", "/readyz", "/metrics")
 
 
 def metrics_page() -> Response:
@@ -60,8 +60,8 @@
     async def handle(self, request: Request) -> Response:
         """Answer one request."""
         path = request.target.partition("?")[0]
-        if path in OWN_PATHS:
-            return self.own_page(path)
+        if path in OPERATIONAL_PATHS:
+            return self.operational_page(path)
         if self.readiness.for_calls():
             return self.refuse(Refusal(NotRun.NOT_READY, NOT_READY_RETRY_MS))
         directory = self.directory()
@@ -86,7 +86,7 @@
         count_trouble(trouble)
         return answer_of(trouble)
 
-    def own_page(self, path: str) -> Response:
+    def operational_page(self, path: str) -> Response:
         """Return a page about this process."""
         if path == "/metrics":
             return metrics_page()
