--- a/libs/entry/src/clementinebend_entry/calls.py
+++ b/libs/entry/src/clementinebend_entry/calls.py
@@ -34,7 +34,7 @@
 UNAUTHORIZED = 401
 NOT_FOUND = 404
 MILLISECONDS = 1000
-MADE_UP_KEY_BYTES = 16
+GENERATED_KEY_BYTES = 16
 NO_BUDGET_RETRY_MS = 60_000
 
 
@@ -75,12 +75,12 @@
     headers = parse_headers(request.headers, directory.declarations.limits)
     match headers:
         case Result(tag="ok", ok=parsed):
-            return _for_team(request, directory, parsed, now)
+            return _parse_for_team(request, directory, parsed, now)
         case Result(error=wrong):
             return Error(wrong)
 
 
-def _for_team(
+def _parse_for_team(
     request: Request, directory: Directory, headers: CallHeaders, now: float
 ) -> Result[Call, BadRequest | Refusal]:
     team = find_team(directory, headers.bearer)
@@ -89,11 +89,11 @@
         return Error(BadRequest(UNAUTHORIZED, "authorization", message))
     path = request.target.partition("?")[0]
     if path in MODEL_PATHS:
-        return _model_call(request, directory, headers, team, now)
-    return _plain_call(request, directory, headers, team, now)
+        return _parse_model_call(request, directory, headers, team, now)
+    return _parse_plain_call(request, directory, headers, team, now)
 
 
-def _model_call(
+def _parse_model_call(
     request: Request,
     directory: Directory,
     headers: CallHeaders,
@@ -115,10 +115,10 @@
     if body.limit > ceiling:
         message = f"must be at most {ceiling}, the limit of this service"
         return Error(BadRequest(INVALID, "max_tokens", message))
-    return _call(request, directory, headers, team, found, body, now)
+    return _build_call(request, directory, headers, team, found, body, now)
 
 
-def _plain_call(
+def _parse_plain_call(
     request: Request,
     directory: Directory,
     headers: CallHeaders,
@@ -128,10 +128,10 @@
     found = find_plain_service(directory, request.target)
     if found is None:
         return Error(BadRequest(NOT_FOUND, "path", "no service has this path"))
-    return _call(request, directory, headers, team, found, None, now)
+    return _build_call(request, directory, headers, team, found, None, now)
 
 
-def _call(
+def _build_call(
     request: Request,
     directory: Directory,
     headers: CallHeaders,
@@ -148,7 +148,7 @@
         message = f"no budget of this team covers the service {found.name!r}"
         refusal = Refusal(NotRun.BUDGET_EXHAUSTED, NO_BUDGET_RETRY_MS, message)
         return Error(refusal)
-    key = headers.idempotency_key or token_hex(MADE_UP_KEY_BYTES)
+    key = headers.idempotency_key or token_hex(GENERATED_KEY_BYTES)
     limit = token_limit(found.service, body)
     return Ok(
         Call(
@@ -162,7 +162,7 @@
             kind=found.service.kind,
             model=body.model if body else "",
             budget=budget,
-            amount=upper_bound(found.service, request.body, limit),
+            amount=max_cost(found.service, request.body, limit),
             token_limit=limit,
             method=request.method,
             path=request.target,
@@ -183,7 +183,7 @@
     return body.limit or service.max_output_tokens
 
 
-def upper_bound(service: Service, body: bytes, limit: int) -> int:
+def max_cost(service: Service, body: bytes, limit: int) -> int:
     """Return the most that a request can cost, in tokens.
 
     A prompt has no more tokens than bytes, and JSON text is never shorter
