--- a/libs/entry/src/clementinebend_entry/call_state.py
+++ b/libs/entry/src/clementinebend_entry/call_state.py
@@ -84,5 +84,5 @@
 
     def drop_pointer(self) -> None:
         """Remove the pointer to a run that gives no answer."""
-        if self.call.has_key:
+        if self.call.has_idempotency_key:
             self.services.pointers.drop(self.call.key, self.run_id)
--- a/libs/entry/src/clementinebend_entry/calls.py
+++ b/libs/entry/src/clementinebend_entry/calls.py
@@ -47,7 +47,7 @@
     """
 
     key: RequestKey
-    has_key: bool
+    has_idempotency_key: bool
     body_digest: str
     team: str
     weight: float
@@ -153,7 +153,7 @@
     return Ok(
         Call(
             key=request_key(team.name, key),
-            has_key=bool(headers.idempotency_key),
+            has_idempotency_key=bool(headers.idempotency_key),
             body_digest=request_digest(request),
             team=team.name,
             weight=team.team.weight,
--- a/libs/entry/src/clementinebend_entry/claimed_calls.py
+++ b/libs/entry/src/clementinebend_entry/claimed_calls.py
@@ -82,7 +82,7 @@
         was read so far has to do. A claim found there may be about to be freed.
         """
         call = self.call
-        if call.idempotent or not call.has_key:
+        if call.idempotent or not call.has_idempotency_key:
             return
         if self.run is None and self.desk.can_claim(call.key):
             await self.desk.read_up_to_now(call.key, CONFIRM_PATIENCE_S)
--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -78,7 +78,9 @@
             if self.task is not None:
                 self.task.cancel()
             return
-        may_stop = self.call.kind is ServiceKind.MODEL and not self.call.has_key
+        may_stop = (
+            self.call.kind is ServiceKind.MODEL and not self.call.has_idempotency_key
+        )
         if may_stop and self.follower is not None:
             self.follower.link.post(RunCancel(self.follower.run))
 
@@ -140,7 +142,7 @@
 
     async def place_pointer(self, endpoint: str) -> Standing | None:
         """Point others to this run; return an earlier run's pointer, if any."""
-        if not self.call.has_key:
+        if not self.call.has_idempotency_key:
             return None
         return await self.services.pointers.put(self.call, self.run_id, endpoint)
 
--- a/libs/entry/src/clementinebend_entry/joining.py
+++ b/libs/entry/src/clementinebend_entry/joining.py
@@ -49,7 +49,9 @@
     of a key that runs elsewhere. Claims say so of other calls.
     """
     call = state.call
-    may_run_elsewhere = call.has_key and call.idempotent and not state.account.lost
+    may_run_elsewhere = (
+        call.has_idempotency_key and call.idempotent and not state.account.lost
+    )
     if not may_run_elsewhere or state.has_looked:
         return None
     state.has_looked = True
--- a/tests/unit/entry/test_calls.py
+++ b/tests/unit/entry/test_calls.py
@@ -26,7 +26,7 @@
     assert call.amount == len(made.body) + 7
     assert call.key == request_key("desk", "k")
     assert call.deadline == NOW + 2.0
-    assert call.has_key
+    assert call.has_idempotency_key
 
 
 def test_without_a_limit_the_services_own_is_reserved() -> None:
@@ -37,7 +37,7 @@
 def test_keys_made_up_for_requests_without_one_differ() -> None:
     first, second = parsed(chat_request()), parsed(chat_request())
     assert first.key != second.key
-    assert not first.has_key
+    assert not first.has_idempotency_key
 
 
 def test_the_digest_covers_method_target_and_body() -> None:
--- a/tests/unit/entry/test_claims.py
+++ b/tests/unit/entry/test_claims.py
@@ -63,7 +63,11 @@
 def booking() -> Call:
     deadline = get_running_loop().time() + FAR_S
     return chat_call(
-        key=KEY, has_key=True, body_digest="d", idempotent=False, deadline=deadline
+        key=KEY,
+        has_idempotency_key=True,
+        body_digest="d",
+        idempotent=False,
+        deadline=deadline,
     )
 
 
