--- a/libs/entry/src/clementinebend_entry/calls.py
+++ b/libs/entry/src/clementinebend_entry/calls.py
@@ -30,7 +30,7 @@
 from clementinebend_records.reasons import NotRun
 from clementinebend_transport.http_server import Request
 
-INVALID = 400
+BAD_REQUEST = 400
 UNAUTHORIZED = 401
 NOT_FOUND = 404
 MILLISECONDS = 1000
@@ -114,7 +114,7 @@
     ceiling = found.service.max_output_tokens
     if body.limit > ceiling:
         message = f"must be at most {ceiling}, the limit of this service"
-        return Error(BadRequest(INVALID, "max_tokens", message))
+        return Error(BadRequest(BAD_REQUEST, "max_tokens", message))
     return _build_call(request, directory, headers, team, found, body, now)
 
 
@@ -143,7 +143,7 @@
     budget = find_budget(directory, team.name, found.name, headers.budget)
     if not budget and headers.budget:
         message = "names no budget of this team for this service"
-        return Error(BadRequest(INVALID, "x-budget", message))
+        return Error(BadRequest(BAD_REQUEST, "x-budget", message))
     if not budget:
         message = f"no budget of this team covers the service {found.name!r}"
         refusal = Refusal(NotRun.BUDGET_EXHAUSTED, NO_BUDGET_RETRY_MS, message)
--- a/libs/entry/src/clementinebend_entry/headers.py
+++ b/libs/entry/src/clementinebend_entry/headers.py
@@ -12,7 +12,7 @@
 HIGHEST_PRIORITY = 9
 LONGEST_KEY = 255
 UNAUTHORIZED = 401
-INVALID = 400
+BAD_REQUEST = 400
 DIGITS_MAX = 12
 
 
@@ -41,15 +41,15 @@
     deadline = _whole_number(headers, "x-deadline-ms", limits.default_deadline_ms)
     if deadline is None or deadline < 1:
         message = "must be a whole number of milliseconds above 0"
-        return Error(BadRequest(INVALID, "x-deadline-ms", message))
+        return Error(BadRequest(BAD_REQUEST, "x-deadline-ms", message))
     priority = _whole_number(headers, "x-priority", DEFAULT_PRIORITY)
     if priority is None or priority > HIGHEST_PRIORITY:
         message = f"must be a whole number from 0 to {HIGHEST_PRIORITY}"
-        return Error(BadRequest(INVALID, "x-priority", message))
+        return Error(BadRequest(BAD_REQUEST, "x-priority", message))
     key = headers.get("idempotency-key", "")
     if len(key) > LONGEST_KEY:
         message = f"must have at most {LONGEST_KEY} characters"
-        return Error(BadRequest(INVALID, "idempotency-key", message))
+        return Error(BadRequest(BAD_REQUEST, "idempotency-key", message))
     return Ok(
         CallHeaders(
             bearer,
--- a/libs/entry/src/clementinebend_entry/model_body.py
+++ b/libs/entry/src/clementinebend_entry/model_body.py
@@ -12,7 +12,7 @@
 
 from clementinebend_entry.outcomes import BadRequest
 
-INVALID = 400
+BAD_REQUEST = 400
 CHAT_PATH = "/v1/chat/completions"
 TEXT_PATH = "/v1/completions"
 MODEL_PATHS = (CHAT_PATH, TEXT_PATH)
@@ -60,19 +60,19 @@
     if path == TEXT_PATH:
         if isinstance(value.get("prompt"), str):
             return None
-        return BadRequest(INVALID, "prompt", "must be one string")
+        return BadRequest(BAD_REQUEST, "prompt", "must be one string")
     messages = value.get("messages")
     if not isinstance(messages, list) or not messages:
-        return BadRequest(INVALID, "messages", "must be a list that is not empty")
+        return BadRequest(BAD_REQUEST, "messages", "must be a list that is not empty")
     if not all(isinstance(message, dict) for message in messages):
-        return BadRequest(INVALID, "messages", "must hold objects only")
+        return BadRequest(BAD_REQUEST, "messages", "must hold objects only")
     return None
 
 
 def _single_error(value: dict[str, Any]) -> BadRequest | None:
     many = (field for field in SINGLE_FIELDS if value.get(field, 1) not in (1, None))
     field = next(many, None)
-    return field and BadRequest(INVALID, field, "must be 1 or absent") or None
+    return field and BadRequest(BAD_REQUEST, field, "must be 1 or absent") or None
 
 
 def _limit_error(value: dict[str, Any]) -> BadRequest | None:
@@ -85,7 +85,7 @@
     if field is None:
         return None
     message = f"must be a whole number from 1 to {LARGEST_LIMIT}"
-    return BadRequest(INVALID, field, message)
+    return BadRequest(BAD_REQUEST, field, message)
 
 
 def _is_limit(value: Any) -> bool:
@@ -94,4 +94,4 @@
 
 
 def _wrong(field: str, message: str) -> Result[ModelBody, BadRequest]:
-    return Error(BadRequest(INVALID, field, message))
+    return Error(BadRequest(BAD_REQUEST, field, message))
