--- a/libs/entry/src/clementinebend_entry/call_state.py
+++ b/libs/entry/src/clementinebend_entry/call_state.py
@@ -32,8 +32,8 @@
         self.exclude: frozenset[str] = frozenset()
         self.refusal: Refusal | None = None
         self.claim = ClaimedCall(services.claims, call)
-        self.earlier: Trouble | None = None
-        self.has_looked = False
+        self.joined_outcome: Trouble | None = None
+        self.has_checked_pointer = False
         self.dispatched = False
         self.abandoned = False
         self.ended = False
@@ -49,7 +49,7 @@
         if self.follower is not None:
             self.account.settle(result, self.follower)
 
-    def may_try_again(self, cause: str, is_free: bool = False) -> bool:
+    def consume_retry(self, cause: str, is_free: bool = False) -> bool:
         """Return whether another attempt is allowed; it is then counted."""
         if self.follower is not None:
             self.exclude = self.exclude | {self.follower.link.name}
@@ -65,7 +65,7 @@
         if self.follower is not None:
             self.services.router.note_leaving(self.follower.link.name, True)
 
-    def zone_of_sidecar(self) -> str:
+    def sidecar_zone(self) -> str:
         """Return the availability zone of the sidecar that executed the run."""
         peer = self.follower.link.peer if self.follower is not None else None
         return self.services.router.zone if peer is None else peer.zone
--- a/libs/entry/src/clementinebend_entry/conclusions.py
+++ b/libs/entry/src/clementinebend_entry/conclusions.py
@@ -49,7 +49,7 @@
         return None
     answer = output.answer
     state.claim.record(answer.status, answer.content_type, bytes(answer.body))
-    zone = state.zone_of_sidecar()
+    zone = state.sidecar_zone()
     if not await services.receipts.make_safe(result.receipt, state.call, zone):
         state.end(Unknown("the receipt could not be made safe in time"))
         return None
@@ -68,7 +68,7 @@
         state.account.withdraw()
     is_final = result.reason in FINAL_REFUSALS
     is_free = result.reason in PLANNED_REFUSALS
-    if is_final or not state.may_try_again("not_run", is_free):
+    if is_final or not state.consume_retry("not_run", is_free):
         return state.refusal
     return None
 
@@ -76,7 +76,7 @@
 @conclude.register(RunBroke)
 async def _(result: RunBroke, state: CallState) -> Refusal | None:
     state.drop_pointer()
-    if state.call.idempotent and state.may_try_again("failed"):
+    if state.call.idempotent and state.consume_retry("failed"):
         state.lose(result)
         return None
     state.settle(result)
@@ -93,6 +93,6 @@
 ) -> Refusal | None:
     state.drop_pointer()
     state.lose(result)
-    if not (state.call.idempotent and state.may_try_again("lost")):
+    if not (state.call.idempotent and state.consume_retry("lost")):
         state.end(Unknown("the endpoint's answer was lost"))
     return None
--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -207,7 +207,7 @@
             await self.give_up(joined)
         if self.ended:
             return
-        trouble = self.account.trouble() or self.earlier
+        trouble = self.account.trouble() or self.joined_outcome
         await self.claim.confirm()
         self.end(trouble or refusal)
         if trouble is None:
--- a/libs/entry/src/clementinebend_entry/joining.py
+++ b/libs/entry/src/clementinebend_entry/joining.py
@@ -52,9 +52,9 @@
     may_run_elsewhere = (
         call.has_idempotency_key and call.idempotent and not state.account.lost
     )
-    if not may_run_elsewhere or state.has_looked:
+    if not may_run_elsewhere or state.has_checked_pointer:
         return None
-    state.has_looked = True
+    state.has_checked_pointer = True
     standing = await state.services.pointers.put(call, state.run_id, NOWHERE)
     if standing is None:
         state.drop_pointer()
@@ -76,8 +76,8 @@
     if is_final or not state.call.idempotent:
         return await conclude(result, state)
     state.services.pointers.drop(state.call.key, standing.run)
-    if state.may_try_again("joined", is_free=True):
-        state.earlier = _trouble_of(result)
+    if state.consume_retry("joined", is_free=True):
+        state.joined_outcome = _trouble_of(result)
         return None
     return await conclude(result, state)
 
