--- a/libs/entry/src/clementinebend_entry/handler.py
+++ b/libs/entry/src/clementinebend_entry/handler.py
@@ -1,4 +1,4 @@
-"""The callers' side: health, readiness, metrics, and calls."""
+"""HTTP request handler for callers: health, readiness, metrics and calls."""
 
 from asyncio import create_task
 from collections.abc import Callable
@@ -28,24 +28,24 @@
 
 
 def metrics_page() -> Response:
-    """Return this library's metrics, and those of libraries and the runtime."""
+    """Return this project's metrics and those of ``prometheus_client``."""
     page = render_metrics()
     assert isinstance(page.body, bytes)
     return page._replace(body=page.body + generate_latest(REGISTRY))
 
 
 class Readiness(Protocol):
-    """Who knows what this entry still lacks."""
+    """Reports what this entry lacks before it can serve."""
 
     def for_calls(self) -> tuple[str, ...]:
-        """Return what a call would lack."""
+        """Return what is missing to execute a call; empty if ready."""
 
     def for_balancer(self) -> tuple[str, ...]:
-        """Return why the balancer should send no callers here."""
+        """Return why the load balancer should send no traffic here."""
 
 
 class Handler:
-    """Answers requests by the declarations in force."""
+    """Handles HTTP requests under the current declarations."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self.readiness = readiness
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request."""
+        """Handle one request and return its response."""
         path = request.target.partition("?")[0]
         if path in OPERATIONAL_PATHS:
             return self.operational_page(path)
@@ -74,7 +74,7 @@
                 return self.refuse(trouble)
 
     async def execute(self, call: Call) -> Response:
-        """Run a call and answer its caller."""
+        """Execute a call and return the response for its caller."""
         execution = Execution(self.services, call)
         execution.task = create_task(execution.run(), name=f"call {call.key}")
         self.services.watch(execution.task)
@@ -82,12 +82,12 @@
         return await respond(execution, IN_PROGRESS.dec)
 
     def refuse(self, trouble: BadRequest | Refusal) -> Response:
-        """Answer a request that is not run."""
+        """Return the error response for a request that is not executed."""
         count_trouble(trouble)
         return answer_of(trouble)
 
     def operational_page(self, path: str) -> Response:
-        """Return a page about this process."""
+        """Return the health, readiness or metrics page of this process."""
         if path == "/metrics":
             return metrics_page()
         missing = self.readiness.for_balancer() if path == "/readyz" else ()
