--- a/libs/entry/src/clementinebend_entry/calls.py
+++ b/libs/entry/src/clementinebend_entry/calls.py
@@ -1,4 +1,4 @@
-"""A request that may be run: who pays, what for, and by when."""
+"""Parses HTTP requests into calls: team, service, budget, cost and deadline."""
 
 from secrets import token_hex
 from typing import NamedTuple
@@ -39,11 +39,11 @@
 
 
 class Call(NamedTuple):
-    """A checked request; ``deadline`` is in monotonic seconds.
+    """A validated request; ``deadline`` is in monotonic seconds.
 
-    ``amount`` is the upper bound of its cost in tokens. ``has_key`` says that
-    the caller gave the idempotency key, so that it may come back for the
-    answer.
+    ``amount`` is the upper bound of its cost in tokens.
+    ``has_idempotency_key`` is true if the caller sent the key, and so may
+    retry the request to fetch the answer; otherwise the key is generated.
     """
 
     key: RequestKey
@@ -71,7 +71,7 @@
 def parse_call(
     request: Request, directory: Directory, now: float
 ) -> Result[Call, BadRequest | Refusal]:
-    """Return the call that a request makes, or why it cannot be made."""
+    """Return the call that a request describes, or why it is rejected."""
     headers = parse_headers(request.headers, directory.declarations.limits)
     match headers:
         case Result(tag="ok", ok=parsed):
@@ -177,17 +177,17 @@
 
 
 def token_limit(service: Service, body: ModelBody | None) -> int:
-    """Return the output limit that the engine is to enforce; 0 for no model."""
+    """Return the output limit for the engine to enforce; 0 if no model is used."""
     if body is None:
         return 0
     return body.limit or service.max_output_tokens
 
 
 def max_cost(service: Service, body: bytes, limit: int) -> int:
-    """Return the most that a request can cost, in tokens.
+    """Return the upper bound of the cost of a request, in tokens.
 
-    A prompt has no more tokens than bytes, and JSON text is never shorter
-    than the prompt inside it.
+    A prompt has at most as many tokens as bytes, and the JSON body is at least
+    as long as the prompt it contains.
     """
     if service.kind is ServiceKind.PLAIN:
         return service.cost
@@ -195,11 +195,11 @@
 
 
 def is_idempotent(service: Service, method: str) -> bool:
-    """Return whether a call may be repeated; generation always may."""
+    """Return whether a call may be repeated; model calls always may."""
     return service.kind is ServiceKind.MODEL or method in service.idempotent_methods
 
 
 def request_digest(request: Request) -> str:
-    """Return the digest by which a retry proves to be the same request."""
+    """Return the digest that identifies a retry as the same request."""
     start = f"{request.method} {request.target}\n".encode()
     return digest_of(start + request.body)
