--- a/libs/entry/src/clementinebend_entry/call_state.py
+++ b/libs/entry/src/clementinebend_entry/call_state.py
@@ -1,6 +1,6 @@
-"""What has become of one call so far, and what may still be done with it.
+"""Mutable state of one call across its attempts.
 
-Owned by the call's ``Execution``, whose task alone changes it.
+Owned by the call's ``Execution``; only its task modifies the state.
 """
 
 from time import monotonic
@@ -19,7 +19,7 @@
 
 
 class CallState:
-    """One call; ``output`` holds what its caller is to get."""
+    """The state of one call; ``output`` collects the answer for its caller."""
 
     def __init__(self, services: Services, call: Call) -> None:
         self.services = services
@@ -39,18 +39,21 @@
         self.ended = False
 
     def lose(self, result: RunResult) -> None:
-        """Go on under another run id; the key may still bear this run's cost."""
+        """Continue under a new run id; this run's cost may still be charged."""
         if self.follower is not None:
             self.account.lose(result, self.follower)
         self.run_id = new_run_id()
 
     def settle(self, result: RunWhole | RunBroke) -> None:
-        """Bill the key with a run's receipt."""
+        """Bill the call's key with a run's receipt."""
         if self.follower is not None:
             self.account.settle(result, self.follower)
 
     def consume_retry(self, cause: str, is_free: bool = False) -> bool:
-        """Return whether another attempt is allowed; it is then counted."""
+        """Return whether another attempt is allowed, and count it if so.
+
+        A free attempt is not charged to the team's retry budget.
+        """
         if self.follower is not None:
             self.exclude = self.exclude | {self.follower.link.name}
         if self.abandoned or monotonic() >= self.call.deadline:
@@ -61,7 +64,7 @@
         return True
 
     def note_leaving(self) -> None:
-        """Send no new work to an endpoint that refuses since it is leaving."""
+        """Stop sending new work to an endpoint that refused because it is leaving."""
         if self.follower is not None:
             self.services.router.note_leaving(self.follower.link.name, True)
 
@@ -71,18 +74,18 @@
         return self.services.router.zone if peer is None else peer.zone
 
     def end(self, outcome: Trouble | Whole) -> None:
-        """End without a whole answer of a run of this call."""
+        """End the call without a complete answer from one of its own runs."""
         self.account.resolve()
         self.ended = True
         self.tell(outcome)
 
     def tell(self, outcome: Trouble | Whole) -> None:
-        """Hand the outcome to the one who answers the caller."""
+        """Pass the outcome to the output, from which the caller is answered."""
         if isinstance(outcome, Refusal):
             outcome = self.claim.honest(outcome)
         self.output.finish(outcome)
 
     def drop_pointer(self) -> None:
-        """Remove the pointer to a run that gives no answer."""
+        """Remove the pointer to a run that will produce no answer."""
         if self.call.has_idempotency_key:
             self.services.pointers.drop(self.call.key, self.run_id)
