--- a/libs/entry/src/clementinebend_entry/attachment.py
+++ b/libs/entry/src/clementinebend_entry/attachment.py
@@ -16,7 +16,7 @@
 from clementinebend_records.messages import RunAttach
 from clementinebend_records.reasons import NotRun
 
-LINK_PATIENCE_S = 1.0
+LINK_TIMEOUT_S = 1.0
 """How long the sidecar of an earlier run is waited for."""
 
 TRIES = 5
@@ -56,7 +56,7 @@
     opening = RunAttach(new_run_id(), call.key, call.body_digest)
     output.tell_again()
     follower = Follower(link, link.peer.incarnation, opening, call.deadline, output)
-    return Attached(follower, await follower.follow(LINK_PATIENCE_S))
+    return Attached(follower, await follower.follow(LINK_TIMEOUT_S))
 
 
 def is_unknown(result: RunResult) -> bool:
@@ -68,7 +68,7 @@
     """Wait a short time for a link."""
     left = max(0.0, deadline - monotonic())
     try:
-        async with timeout(min(LINK_PATIENCE_S, left)):
+        async with timeout(min(LINK_TIMEOUT_S, left)):
             await link.up.wait()
     except TimeoutError:
         return False
--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -31,10 +31,10 @@
 
 logger = getLogger(__name__)
 
-LINK_PATIENCE_S = 2.0
+LINK_TIMEOUT_S = 2.0
 """How long idempotent work waits for its sidecar's link before it runs again."""
 
-SCOPE_PATIENCE_S = 1.0
+SCOPE_TIMEOUT_S = 1.0
 """How long a request waits for a new sidecar to be in scope."""
 
 
@@ -44,7 +44,7 @@
     def __init__(self, services: Services, call: Call) -> None:
         super().__init__(services, call)
         self.waits_for_budget = False
-        self.scope_deadline = monotonic() + SCOPE_PATIENCE_S
+        self.scope_deadline = monotonic() + SCOPE_TIMEOUT_S
         self.task: Task[None] | None = None
 
     async def run(self) -> None:
@@ -92,12 +92,12 @@
         An earlier run of the key is joined before anything is reserved: that
         needs no budget, and "not run" must not be said of a key that runs.
         """
-        if await self.is_answered():
+        if await self.answer_from_record():
             return
         unsafe = self.services.receipts.unsafe_zone(self.call)
         chosen = self.services.router.choose(self.call, self.exclude, unsafe)
         if isinstance(chosen, NoEndpoint):
-            if await self.is_scope_coming():
+            if await self.wait_for_scope():
                 return
             reason = NotRun.LOG_UNAVAILABLE if unsafe else NotRun.NO_ENDPOINT
             await self.give_up(self.refusal or Refusal(reason, chosen.retry_after_ms))
@@ -105,7 +105,7 @@
         link, choice = chosen
         standing = await self.place_pointer(choice.endpoint)
         if standing is not None:
-            await self.go_on(await join(self, standing))
+            await self.give_up_if_refused(await join(self, standing))
             return
         self.waits_for_budget = True
         refusal = await self.account.reserve(self.run_id)
@@ -116,10 +116,10 @@
         ticket = self.ticket(link)
         if ticket is None:
             return
-        if await self.is_claimed():
+        if await self.acquire_claim():
             await self.dispatch(link, choice, ticket)
 
-    async def is_scope_coming(self) -> bool:
+    async def wait_for_scope(self) -> bool:
         """Wait a short time for an endpoint whose scope is being logged."""
         services, call = self.services, self.call
         deadline = min(call.deadline, self.scope_deadline)
@@ -146,7 +146,7 @@
             return None
         return await self.services.pointers.put(self.call, self.run_id, endpoint)
 
-    async def is_answered(self) -> bool:
+    async def answer_from_record(self) -> bool:
         """Answer a retry of a claimed call from its record, if there is one."""
         if self.call.idempotent or self.claim.is_won:
             return False
@@ -155,7 +155,7 @@
             self.end(piece)
         return piece is not None
 
-    async def is_claimed(self) -> bool:
+    async def acquire_claim(self) -> bool:
         """Win the claim of a call that may run at most once."""
         if self.call.idempotent or self.claim.is_won:
             return True
@@ -178,22 +178,22 @@
             link, ticket.sidecar, start, call.deadline, self.output
         )
         self.dispatched = True
-        began = monotonic()
+        started_at = monotonic()
         router.on_start(choice, self.run_id)
-        result = await self.follower.follow(self.link_patience())
+        result = await self.follower.follow(self.link_timeout())
         ok = isinstance(result, RunWhole)
-        router.on_end(choice.endpoint, self.run_id, ok, monotonic() - began)
+        router.on_end(choice.endpoint, self.run_id, ok, monotonic() - started_at)
         RUNS.labels(type(result).__name__).inc()
-        await self.go_on(await conclude(result, self))
+        await self.give_up_if_refused(await conclude(result, self))
 
-    def link_patience(self) -> float:
+    def link_timeout(self) -> float:
         """Return for how long a broken link is waited for, in seconds."""
         left = max(0.0, self.call.deadline - monotonic())
-        return min(LINK_PATIENCE_S, left / 2) if self.call.idempotent else left
+        return min(LINK_TIMEOUT_S, left / 2) if self.call.idempotent else left
 
     # Ends.
 
-    async def go_on(self, refusal: Refusal | None) -> None:
+    async def give_up_if_refused(self, refusal: Refusal | None) -> None:
         """Give the call up if there is a refusal; else it has ended or goes on."""
         if refusal is not None:
             await self.give_up(refusal)
