--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -1,9 +1,9 @@
-"""One request from admission to its bill, apart from the caller's connection.
+"""Executes one request from admission to billing.
 
-The caller may leave at any time; what was dispatched is followed to its end
-and billed all the same. Further attempts are made only if the earlier one is
-proved not run, or the work is idempotent, within the retry budget and the
-deadline.
+Execution is independent of the caller's connection: if the caller
+disconnects, a dispatched run is still followed to its end and billed. A
+request is retried only if the previous attempt is proved not to have run or
+the work is idempotent, within the retry budget and the deadline.
 """
 
 from asyncio import Task
@@ -32,14 +32,14 @@
 logger = getLogger(__name__)
 
 LINK_TIMEOUT_S = 2.0
-"""How long idempotent work waits for its sidecar's link before it runs again."""
+"""How long idempotent work waits for a broken sidecar link before a retry."""
 
 SCOPE_TIMEOUT_S = 1.0
-"""How long a request waits for a new sidecar to be in scope."""
+"""How long a request waits until a new sidecar is in scope."""
 
 
 class Execution(CallState):
-    """Runs one call; its task owns the call's state."""
+    """Executes one call in a task that owns the call's state."""
 
     def __init__(self, services: Services, call: Call) -> None:
         super().__init__(services, call)
@@ -48,7 +48,7 @@
         self.task: Task[None] | None = None
 
     async def run(self) -> None:
-        """Take the call through admission and its attempts."""
+        """Admit the call, then make attempts until it has ended."""
         gate = self.services.gate
         refusal = await gate.enter(self.request, self.call)
         if refusal is not None:
@@ -58,7 +58,7 @@
             while not self.ended:
                 await self.attempt()
         except Exception:
-            logger.exception("an execution failed; its reservation stays")
+            logger.exception("unhandled error in a call; its reservation is kept")
             self.account.reservation = None
             self.tell(Unknown("this entry failed"))
         finally:
@@ -72,7 +72,11 @@
                 gate.leave_unrun(self.request)
 
     def abandon(self) -> None:
-        """Take in that the caller does not wait any more."""
+        """Cancel what can be cancelled; the caller no longer waits.
+
+        A dispatched run is cancelled only for a model call without an
+        idempotency key, whose answer cannot be fetched by a retry.
+        """
         self.abandoned = True
         if not self.dispatched:
             if self.task is not None:
@@ -84,13 +88,14 @@
         if may_stop and self.follower is not None:
             self.follower.link.post(RunCancel(self.follower.run))
 
-    # One attempt.
+    # Attempts
 
     async def attempt(self) -> None:
-        """Choose an endpoint, reserve, and dispatch; then take the result.
+        """Choose an endpoint, reserve tokens, dispatch, and handle the result.
 
-        An earlier run of the key is joined before anything is reserved: that
-        needs no budget, and "not run" must not be said of a key that runs.
+        An earlier run of the key is joined before tokens are reserved: joining
+        needs no budget, and a key with a run in progress must not be reported
+        as "not run".
         """
         if await self.answer_from_record():
             return
@@ -120,7 +125,10 @@
             await self.dispatch(link, choice, ticket)
 
     async def wait_for_scope(self) -> bool:
-        """Wait a short time for an endpoint whose scope is being logged."""
+        """Wait briefly for an endpoint whose scope is being logged.
+
+        Return whether the attempt should be repeated.
+        """
         services, call = self.services, self.call
         deadline = min(call.deadline, self.scope_deadline)
         if not services.router.is_pending(call) or monotonic() >= deadline:
@@ -128,7 +136,7 @@
         return await services.ledger.until_changed(deadline)
 
     def ticket(self, link: SidecarLink) -> Ticket | None:
-        """Return the ticket for a sidecar, or None if it cannot be used now."""
+        """Return the ticket for a sidecar, or None if it is not usable now."""
         reservation, peer = self.account.reservation, link.peer
         ledger = self.services.ledger
         if reservation is None or peer is None:
@@ -141,13 +149,13 @@
         return ticket_for(reservation, peer)
 
     async def place_pointer(self, endpoint: str) -> Standing | None:
-        """Point others to this run; return an earlier run's pointer, if any."""
+        """Publish a pointer to this run; return that of an earlier run, if any."""
         if not self.call.has_idempotency_key:
             return None
         return await self.services.pointers.put(self.call, self.run_id, endpoint)
 
     async def answer_from_record(self) -> bool:
-        """Answer a retry of a claimed call from its record, if there is one."""
+        """Answer a retry of a claimed call from its record; return if it did."""
         if self.call.idempotent or self.claim.is_won:
             return False
         piece = self.claim.recorded()
@@ -156,7 +164,10 @@
         return piece is not None
 
     async def acquire_claim(self) -> bool:
-        """Win the claim of a call that may run at most once."""
+        """Win the claim of a call that may run at most once.
+
+        Return whether the call may run; if not, it has been given up or ended.
+        """
         if self.call.idempotent or self.claim.is_won:
             return True
         trouble = await self.claim.win(self.run_id)
@@ -171,7 +182,7 @@
         return False
 
     async def dispatch(self, link: SidecarLink, choice: Choice, ticket: Ticket) -> None:
-        """Send the run to its sidecar and follow it to its end."""
+        """Send the run to its sidecar, follow it, and handle its result."""
         call, router = self.call, self.services.router
         start = run_start(call, self.run_id, ticket)
         self.follower = Follower(
@@ -187,19 +198,22 @@
         await self.give_up_if_refused(await conclude(result, self))
 
     def link_timeout(self) -> float:
-        """Return for how long a broken link is waited for, in seconds."""
+        """Return how long to wait for a broken link, in seconds."""
         left = max(0.0, self.call.deadline - monotonic())
         return min(LINK_TIMEOUT_S, left / 2) if self.call.idempotent else left
 
-    # Ends.
+    # End of the call
 
     async def give_up_if_refused(self, refusal: Refusal | None) -> None:
-        """Give the call up if there is a refusal; else it has ended or goes on."""
+        """Give up the call if it was refused; otherwise do nothing."""
         if refusal is not None:
             await self.give_up(refusal)
 
     async def give_up(self, refusal: Refusal) -> None:
-        """End a call that is proved not run, or whose last attempt is."""
+        """End a call whose last attempt is proved not to have run.
+
+        If another run of its key is found, the call joins that run instead.
+        """
         self.account.withdraw()
         self.drop_pointer()
         joined = await join_earlier(self)
