--- a/libs/entry/src/clementinebend_entry/answer_output.py
+++ b/libs/entry/src/clementinebend_entry/answer_output.py
@@ -14,7 +14,7 @@
     take_head,
     tell_again,
 )
-from clementinebend_entry.outcomes import Trouble
+from clementinebend_entry.outcomes import ErrorOutcome
 from clementinebend_entry.pieces import Begun, Part, Piece, Whole
 from clementinebend_records.messages import RunChunk, RunEnd, RunHead
 
@@ -70,7 +70,7 @@
         answer = self.answer
         self.finish(Whole(answer.status, answer.content_type, last_part(answer)))
 
-    def finish(self, piece: Whole | Trouble) -> None:
+    def finish(self, piece: Whole | ErrorOutcome) -> None:
         """Tell the caller the outcome; what comes after the first is dropped."""
         self.put(piece)
         self.is_finished = True
--- a/libs/entry/src/clementinebend_entry/answers.py
+++ b/libs/entry/src/clementinebend_entry/answers.py
@@ -9,9 +9,9 @@
 
 from clementinebend_entry.outcomes import (
     BadRequest,
+    ErrorOutcome,
     Failed,
     Refusal,
-    Trouble,
     Unknown,
 )
 from clementinebend_records.reasons import NotRun, Outcome
@@ -29,7 +29,7 @@
     NotRun.OVERLOADED: 429,
 }
 
-_TEXT_BY_REASON = {
+_MESSAGE_BY_REASON = {
     NotRun.BUDGET_EXHAUSTED: "the budget cannot cover this request; top it up",
     NotRun.BUDGET_UNAVAILABLE: "no share of the budget could be had in time",
     NotRun.LEAVING: "the endpoint is leaving",
@@ -53,79 +53,79 @@
 
 
 @singledispatch
-def error_of(trouble: Any) -> dict[str, Any]:
+def error_body(outcome: Any) -> dict[str, Any]:
     """Return the value of ``error`` in the body for an outcome."""
-    raise TypeError(f"no error body for {trouble!r}")
+    raise TypeError(f"no error body for {outcome!r}")
 
 
-@error_of.register
-def _(trouble: BadRequest) -> dict[str, Any]:
+@error_body.register
+def _(outcome: BadRequest) -> dict[str, Any]:
     return {
         "type": "bad_request",
-        "field": trouble.field,
-        "message": trouble.message,
+        "field": outcome.field,
+        "message": outcome.message,
     }
 
 
-@error_of.register
-def _(trouble: Refusal) -> dict[str, Any]:
+@error_body.register
+def _(outcome: Refusal) -> dict[str, Any]:
     return {
         "type": str(Outcome.NOT_RUN),
-        "reason": str(trouble.reason),
-        "message": trouble.message or _TEXT_BY_REASON[trouble.reason],
-        "retry_after_ms": trouble.retry_after_ms,
+        "reason": str(outcome.reason),
+        "message": outcome.message or _MESSAGE_BY_REASON[outcome.reason],
+        "retry_after_ms": outcome.retry_after_ms,
     }
 
 
-@error_of.register
-def _(trouble: Failed) -> dict[str, Any]:
-    return {"type": str(Outcome.FAILED), "message": trouble.message}
+@error_body.register
+def _(outcome: Failed) -> dict[str, Any]:
+    return {"type": str(Outcome.FAILED), "message": outcome.message}
 
 
-@error_of.register
-def _(trouble: Unknown) -> dict[str, Any]:
-    return {"type": str(Outcome.UNKNOWN), "message": trouble.message}
+@error_body.register
+def _(outcome: Unknown) -> dict[str, Any]:
+    return {"type": str(Outcome.UNKNOWN), "message": outcome.message}
 
 
 @singledispatch
-def status_of(trouble: Any) -> int:
+def error_status(outcome: Any) -> int:
     """Return the HTTP status for an outcome."""
-    raise TypeError(f"no status for {trouble!r}")
+    raise TypeError(f"no status for {outcome!r}")
 
 
-@status_of.register
-def _(trouble: BadRequest) -> int:
-    return trouble.status
+@error_status.register
+def _(outcome: BadRequest) -> int:
+    return outcome.status
 
 
-@status_of.register
-def _(trouble: Refusal) -> int:
-    return trouble.status or _STATUS_BY_REASON.get(trouble.reason, UNAVAILABLE)
+@error_status.register
+def _(outcome: Refusal) -> int:
+    return outcome.status or _STATUS_BY_REASON.get(outcome.reason, UNAVAILABLE)
 
 
-@status_of.register
-def _(trouble: Failed) -> int:
+@error_status.register
+def _(outcome: Failed) -> int:
     return BAD_GATEWAY
 
 
-@status_of.register
-def _(trouble: Unknown) -> int:
+@error_status.register
+def _(outcome: Unknown) -> int:
     return GATEWAY_TIMEOUT
 
 
-def answer_of(trouble: Trouble) -> Response:
+def error_response(outcome: ErrorOutcome) -> Response:
     """Return the whole response for an outcome other than a whole answer."""
     headers = [("content-type", JSON)]
-    if isinstance(trouble, Refusal):
-        seconds = retry_after_seconds(trouble.retry_after_ms)
+    if isinstance(outcome, Refusal):
+        seconds = retry_after_seconds(outcome.retry_after_ms)
         headers.append(("retry-after", str(seconds)))
-    body = dumps({"error": error_of(trouble)}).encode()
-    return Response(status_of(trouble), tuple(headers), body)
+    body = dumps({"error": error_body(outcome)}).encode()
+    return Response(error_status(outcome), tuple(headers), body)
 
 
-def last_event(trouble: Trouble) -> bytes:
+def error_event(outcome: ErrorOutcome) -> bytes:
     """Return the event that ends a stream which cannot be completed."""
-    return b"data: " + dumps({"error": error_of(trouble)}).encode() + b"\n\n"
+    return b"data: " + dumps({"error": error_body(outcome)}).encode() + b"\n\n"
 
 
 def json_response(status: int, value: Any) -> Response:
--- a/libs/entry/src/clementinebend_entry/call_state.py
+++ b/libs/entry/src/clementinebend_entry/call_state.py
@@ -10,7 +10,7 @@
 from clementinebend_entry.claimed_calls import ClaimedCall
 from clementinebend_entry.following import Follower
 from clementinebend_entry.metrics import RETRIES
-from clementinebend_entry.outcomes import Refusal, Trouble
+from clementinebend_entry.outcomes import ErrorOutcome, Refusal
 from clementinebend_entry.pieces import Whole
 from clementinebend_entry.run_account import RunAccount
 from clementinebend_entry.run_results import RunBroke, RunResult, RunWhole
@@ -32,7 +32,7 @@
         self.exclude: frozenset[str] = frozenset()
         self.refusal: Refusal | None = None
         self.claim = ClaimedCall(services.claims, call)
-        self.joined_outcome: Trouble | None = None
+        self.joined_outcome: ErrorOutcome | None = None
         self.has_checked_pointer = False
         self.dispatched = False
         self.abandoned = False
@@ -73,13 +73,13 @@
         peer = self.follower.link.peer if self.follower is not None else None
         return self.services.router.zone if peer is None else peer.zone
 
-    def end(self, outcome: Trouble | Whole) -> None:
+    def end(self, outcome: ErrorOutcome | Whole) -> None:
         """End the call without a complete answer from one of its own runs."""
         self.account.resolve()
         self.ended = True
         self.tell(outcome)
 
-    def tell(self, outcome: Trouble | Whole) -> None:
+    def tell(self, outcome: ErrorOutcome | Whole) -> None:
         """Pass the outcome to the output, from which the caller is answered."""
         if isinstance(outcome, Refusal):
             outcome = self.claim.honest(outcome)
--- a/libs/entry/src/clementinebend_entry/claimed_calls.py
+++ b/libs/entry/src/clementinebend_entry/claimed_calls.py
@@ -3,7 +3,7 @@
 from json import dumps
 from time import monotonic
 
-from clementinebend_entry.answers import JSON, error_of
+from clementinebend_entry.answers import JSON, error_body
 from clementinebend_entry.calls import Call
 from clementinebend_entry.claims import ClaimsDesk
 from clementinebend_entry.metrics import ATTACHMENTS
@@ -115,7 +115,7 @@
 
     def record_failure(self, message: str) -> None:
         """Record that the call ran and failed."""
-        body = dumps({"error": error_of(Failed(message))}).encode()
+        body = dumps({"error": error_body(Failed(message))}).encode()
         self.record(BAD_GATEWAY, JSON, body)
 
     def void(self) -> None:
--- a/libs/entry/src/clementinebend_entry/handler.py
+++ b/libs/entry/src/clementinebend_entry/handler.py
@@ -8,13 +8,13 @@
 from expression import Result
 from prometheus_client import REGISTRY, generate_latest
 
-from clementinebend_entry.answers import answer_of, json_response
+from clementinebend_entry.answers import error_response, json_response
 from clementinebend_entry.calls import Call, parse_call
 from clementinebend_entry.execution import Execution
 from clementinebend_entry.lookup import Directory
 from clementinebend_entry.metrics import IN_PROGRESS
 from clementinebend_entry.outcomes import BadRequest, Refusal
-from clementinebend_entry.responder import count_trouble, respond
+from clementinebend_entry.responder import count_error, respond
 from clementinebend_entry.services import Services
 from clementinebend_records.reasons import NotRun
 from clementinebend_transport.http_server import Request, Response
@@ -70,8 +70,8 @@
         match parse_call(request, directory, monotonic()):
             case Result(tag="ok", ok=call):
                 return await self.execute(call)
-            case Result(error=trouble):
-                return self.refuse(trouble)
+            case Result(error=error_outcome):
+                return self.refuse(error_outcome)
 
     async def execute(self, call: Call) -> Response:
         """Execute a call and return the response for its caller."""
@@ -81,10 +81,10 @@
         IN_PROGRESS.inc()
         return await respond(execution, IN_PROGRESS.dec)
 
-    def refuse(self, trouble: BadRequest | Refusal) -> Response:
+    def refuse(self, error_outcome: BadRequest | Refusal) -> Response:
         """Return the error response for a request that is not executed."""
-        count_trouble(trouble)
-        return answer_of(trouble)
+        count_error(error_outcome)
+        return error_response(error_outcome)
 
     def operational_page(self, path: str) -> Response:
         """Return the health, readiness or metrics page of this process."""
--- a/libs/entry/src/clementinebend_entry/joining.py
+++ b/libs/entry/src/clementinebend_entry/joining.py
@@ -7,7 +7,7 @@
 from clementinebend_entry.attachment import Attached, attach
 from clementinebend_entry.call_state import CallState
 from clementinebend_entry.conclusions import FINAL_REFUSALS, conclude
-from clementinebend_entry.outcomes import Failed, Refusal, Trouble, Unknown
+from clementinebend_entry.outcomes import ErrorOutcome, Failed, Refusal, Unknown
 from clementinebend_entry.pointer_desk import Standing
 from clementinebend_entry.run_results import (
     RunBroke,
@@ -82,7 +82,7 @@
     return await conclude(result, state)
 
 
-def _trouble_of(result: RunResult) -> Trouble | None:
+def _trouble_of(result: RunResult) -> ErrorOutcome | None:
     """Return what is to be told if the key's next run is refused."""
     match result:
         case RunNotRun():
--- a/libs/entry/src/clementinebend_entry/outcomes.py
+++ b/libs/entry/src/clementinebend_entry/outcomes.py
@@ -38,4 +38,4 @@
     message: str
 
 
-Trouble = BadRequest | Refusal | Failed | Unknown
+ErrorOutcome = BadRequest | Refusal | Failed | Unknown
--- a/libs/entry/src/clementinebend_entry/pieces.py
+++ b/libs/entry/src/clementinebend_entry/pieces.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from clementinebend_entry.outcomes import Trouble
+from clementinebend_entry.outcomes import ErrorOutcome
 
 
 class Begun(NamedTuple):
@@ -29,5 +29,5 @@
     data: bytes
 
 
-Piece = Begun | Part | Whole | Trouble
+Piece = Begun | Part | Whole | ErrorOutcome
 """A ``Trouble`` ends the answer, also one that has begun."""
--- a/libs/entry/src/clementinebend_entry/responder.py
+++ b/libs/entry/src/clementinebend_entry/responder.py
@@ -7,16 +7,16 @@
 from asyncio import get_running_loop
 from collections.abc import AsyncIterator, Callable
 
-from clementinebend_entry.answers import answer_of, last_event
+from clementinebend_entry.answers import error_event, error_response
 from clementinebend_entry.budget_waits import budget_is_busy
 from clementinebend_entry.exceptions import AnswerCutOff
 from clementinebend_entry.execution import Execution
 from clementinebend_entry.metrics import ABANDONED, REQUESTS
 from clementinebend_entry.outcomes import (
     BadRequest,
+    ErrorOutcome,
     Failed,
     Refusal,
-    Trouble,
     Unknown,
 )
 from clementinebend_entry.pieces import Begun, Part, Whole
@@ -49,8 +49,8 @@
             piece.status, (("content-type", piece.content_type),), piece.data
         )
     assert not isinstance(piece, Part), "a part came before its head"
-    count_trouble(piece)
-    return answer_of(piece)
+    count_error(piece)
+    return error_response(piece)
 
 
 async def stream(execution: Execution, on_end: OnEnd) -> AsyncIterator[bytes]:
@@ -66,8 +66,8 @@
                 count(Outcome.WHOLE)
                 yield piece.data
             elif not isinstance(piece, Begun):
-                count_trouble(piece)
-                yield last_event(piece)
+                count_error(piece)
+                yield error_event(piece)
                 raise AnswerCutOff(type(piece).__name__)
     finally:
         if not is_ended:
@@ -94,17 +94,17 @@
     execution.abandon()
 
 
-def count_trouble(trouble: Trouble) -> None:
+def count_error(error_outcome: ErrorOutcome) -> None:
     """Count an outcome other than a whole answer."""
-    match trouble:
+    match error_outcome:
         case Refusal():
-            count(Outcome.NOT_RUN, trouble.reason)
+            count(Outcome.NOT_RUN, error_outcome.reason)
         case Failed():
             count(Outcome.FAILED)
         case Unknown():
             count(Outcome.UNKNOWN)
         case BadRequest():
-            REQUESTS.labels("bad_request", trouble.field).inc()
+            REQUESTS.labels("bad_request", error_outcome.field).inc()
 
 
 def count(outcome: Outcome, reason: str = "") -> None:
--- a/tests/unit/entry/test_answers.py
+++ b/tests/unit/entry/test_answers.py
@@ -4,19 +4,23 @@
 
 import pytest
 
-from clementinebend_entry.answers import answer_of, last_event, retry_after_seconds
+from clementinebend_entry.answers import (
+    error_event,
+    error_response,
+    retry_after_seconds,
+)
 from clementinebend_entry.outcomes import (
     BadRequest,
+    ErrorOutcome,
     Failed,
     Refusal,
-    Trouble,
     Unknown,
 )
 from clementinebend_records.reasons import NotRun
 
 
 @pytest.mark.parametrize(
-    ("trouble", "status", "kind"),
+    ("outcome", "status", "kind"),
     [
         (BadRequest(413, "body", "is too large"), 413, "bad_request"),
         (Refusal(NotRun.BUDGET_EXHAUSTED, 60_000), 402, "not_run"),
@@ -29,18 +33,18 @@
     ],
 )
 def test_outcomes_differ_by_status_and_type(
-    trouble: Trouble, status: int, kind: str
+    outcome: ErrorOutcome, status: int, kind: str
 ) -> None:
-    response = answer_of(trouble)
+    response = error_response(outcome)
     assert isinstance(response.body, bytes)
     assert response.status == status
     assert loads(response.body)["error"]["type"] == kind
-    assert ("retry-after" in dict(response.headers)) == isinstance(trouble, Refusal)
+    assert ("retry-after" in dict(response.headers)) == isinstance(outcome, Refusal)
 
 
 @pytest.mark.parametrize("reason", NotRun)
 def test_every_refusal_says_why_and_when_to_come_back(reason: NotRun) -> None:
-    response = answer_of(Refusal(reason, 1500))
+    response = error_response(Refusal(reason, 1500))
     assert isinstance(response.body, bytes)
     error = loads(response.body)["error"]
     assert error["reason"] == reason
@@ -53,6 +57,6 @@
 
 
 def test_the_last_event_of_a_broken_stream_is_no_end_marker() -> None:
-    event = last_event(Unknown("lost"))
+    event = error_event(Unknown("lost"))
     assert loads(event.removeprefix(b"data: "))["error"]["type"] == "outcome_unknown"
     assert b"[DONE]" not in event
--- a/tests/unit/entry/test_calls.py
+++ b/tests/unit/entry/test_calls.py
@@ -57,9 +57,9 @@
     "value", [0, -1, True, 1.5, "9", 201, LARGEST_LIMIT + 1, 2**80]
 )
 def test_a_wrong_output_limit_names_its_field(value: object) -> None:
-    trouble = parsed(chat_request(body(max_tokens=value)))
-    assert isinstance(trouble, BadRequest)
-    assert (trouble.status, trouble.field) == (400, "max_tokens")
+    error_outcome = parsed(chat_request(body(max_tokens=value)))
+    assert isinstance(error_outcome, BadRequest)
+    assert (error_outcome.status, error_outcome.field) == (400, "max_tokens")
 
 
 @pytest.mark.parametrize(
@@ -79,9 +79,9 @@
     ],
 )
 def test_a_wrong_body_names_its_field(content: Any, field: str) -> None:
-    trouble = parsed(chat_request(content))
-    assert isinstance(trouble, BadRequest)
-    assert (trouble.status, trouble.field) == (400, field)
+    error_outcome = parsed(chat_request(content))
+    assert isinstance(error_outcome, BadRequest)
+    assert (error_outcome.status, error_outcome.field) == (400, field)
 
 
 @pytest.mark.parametrize(
@@ -98,9 +98,9 @@
     ],
 )
 def test_a_wrong_header_is_named(headers: dict[str, str], field: str) -> None:
-    trouble = parsed(chat_request(**headers))
-    assert isinstance(trouble, BadRequest)
-    assert (trouble.status, trouble.field) == (400, field)
+    error_outcome = parsed(chat_request(**headers))
+    assert isinstance(error_outcome, BadRequest)
+    assert (error_outcome.status, error_outcome.field) == (400, field)
 
 
 def test_a_missing_or_unknown_key_is_unauthorized() -> None:
