--- a/libs/entry/src/clementinebend_entry/answers.py
+++ b/libs/entry/src/clementinebend_entry/answers.py
@@ -1,6 +1,6 @@
-"""What a caller is told: outcomes as HTTP responses with typed JSON bodies.
+"""Converts error outcomes to HTTP responses with typed JSON bodies.
 
-The statuses are those of the table in docs/DESIGN.md.
+The status codes follow the table in docs/DESIGN.md.
 """
 
 from functools import singledispatch
@@ -48,13 +48,13 @@
 
 
 def retry_after_seconds(retry_after_ms: int) -> int:
-    """Return whole seconds for the ``Retry-After`` header; at least 1."""
+    """Return the ``Retry-After`` value: seconds rounded up, at least 1."""
     return max(1, -(-retry_after_ms // MILLISECONDS))
 
 
 @singledispatch
 def error_body(outcome: Any) -> dict[str, Any]:
-    """Return the value of ``error`` in the body for an outcome."""
+    """Return the value of ``error`` in the JSON body for an outcome."""
     raise TypeError(f"no error body for {outcome!r}")
 
 
@@ -114,7 +114,7 @@
 
 
 def error_response(outcome: ErrorOutcome) -> Response:
-    """Return the whole response for an outcome other than a whole answer."""
+    """Return the complete HTTP response for an error outcome."""
     headers = [("content-type", JSON)]
     if isinstance(outcome, Refusal):
         seconds = retry_after_seconds(outcome.retry_after_ms)
@@ -124,7 +124,7 @@
 
 
 def error_event(outcome: ErrorOutcome) -> bytes:
-    """Return the event that ends a stream which cannot be completed."""
+    """Return the server-sent event that reports why a stream was cut off."""
     return b"data: " + dumps({"error": error_body(outcome)}).encode() + b"\n\n"
 
 
