--- a/libs/entry/src/clementinebend_entry/answer_output.py
+++ b/libs/entry/src/clementinebend_entry/answer_output.py
@@ -5,14 +5,14 @@
 
 from clementinebend_entry.answer_state import (
     FIRST_ERROR_STATUS,
-    Broken,
+    BrokenAnswer,
+    apply_chunk,
+    apply_end,
+    apply_head,
     empty_answer,
     has_begun,
-    last_part,
-    take_chunk,
-    take_end,
-    take_head,
-    tell_again,
+    rewind,
+    unreleased_bytes,
 )
 from clementinebend_entry.outcomes import ErrorOutcome
 from clementinebend_entry.pieces import Begun, Part, Piece, Whole
@@ -39,21 +39,21 @@
         """Whether the caller may have got a part of the answer."""
         return self.is_announced or has_begun(self.answer)
 
-    def tell_again(self) -> None:
+    def rewind(self) -> None:
         """Expect the answer from its start."""
-        self.answer = tell_again(self.answer)
+        self.answer = rewind(self.answer)
 
     def head(self, head: RunHead) -> None:
         """Take status and content type."""
-        self.answer, broken = take_head(self.answer, head)
+        self.answer, broken = apply_head(self.answer, head)
         self.note(broken)
 
     def chunk(self, chunk: RunChunk) -> None:
         """Take the next piece, unless the answer is broken."""
         if self.broken:
             return
-        self.answer, result = take_chunk(self.answer, chunk)
-        if isinstance(result, Broken):
+        self.answer, result = apply_chunk(self.answer, chunk)
+        if isinstance(result, BrokenAnswer):
             self.note(result)
         elif result.data:
             self.announce()
@@ -62,13 +62,13 @@
     def end(self, end: RunEnd) -> None:
         """Check that the answer is whole."""
         if not self.broken:
-            self.answer, broken = take_end(self.answer, end)
+            self.answer, broken = apply_end(self.answer, end)
             self.note(broken)
 
     def release(self) -> None:
         """Let the caller have what was held back: the end of the answer."""
         answer = self.answer
-        self.finish(Whole(answer.status, answer.content_type, last_part(answer)))
+        self.finish(Whole(answer.status, answer.content_type, unreleased_bytes(answer)))
 
     def finish(self, piece: Whole | ErrorOutcome) -> None:
         """Tell the caller the outcome; what comes after the first is dropped."""
@@ -88,7 +88,7 @@
             self.is_announced = True
             self.put(Begun(answer.status, answer.content_type))
 
-    def note(self, broken: Broken | None) -> None:
+    def note(self, broken: BrokenAnswer | None) -> None:
         """Remember why the answer cannot be completed."""
         if broken is not None and not self.broken:
             self.broken = broken.message
--- a/libs/entry/src/clementinebend_entry/answer_state.py
+++ b/libs/entry/src/clementinebend_entry/answer_state.py
@@ -39,7 +39,7 @@
     data: bytes
 
 
-class Broken(NamedTuple):
+class BrokenAnswer(NamedTuple):
     """The answer cannot be completed from this telling."""
 
     message: str
@@ -50,7 +50,7 @@
     return AnswerState(stream, bytearray())
 
 
-def tell_again(answer: AnswerState) -> AnswerState:
+def rewind(answer: AnswerState) -> AnswerState:
     """Return the answer before a new telling from its start."""
     return answer._replace(position=0, sequence=0)
 
@@ -60,25 +60,27 @@
     return answer.released > 0
 
 
-def take_head(answer: AnswerState, head: RunHead) -> tuple[AnswerState, Broken | None]:
+def apply_head(
+    answer: AnswerState, head: RunHead
+) -> tuple[AnswerState, BrokenAnswer | None]:
     """Take status and content type."""
     same = (answer.status, answer.content_type) == (head.status, head.content_type)
     if has_begun(answer) and not same:
-        return answer, Broken("the answer begins differently from what was sent")
+        return answer, BrokenAnswer("the answer begins differently from what was sent")
     return answer._replace(status=head.status, content_type=head.content_type), None
 
 
-def take_chunk(
+def apply_chunk(
     answer: AnswerState, chunk: RunChunk
-) -> tuple[AnswerState, Release | Broken]:
+) -> tuple[AnswerState, Release | BrokenAnswer]:
     """Take the next piece."""
     if chunk.sequence != answer.sequence:
         problem = f"piece {chunk.sequence} came instead of {answer.sequence}"
-        return answer, Broken(problem)
-    matched = _matching(answer, chunk.data)
+        return answer, BrokenAnswer(problem)
+    matched = _matching_length(answer, chunk.data)
     position = answer.position + matched
     if position < answer.released and matched < len(chunk.data):
-        return answer, Broken("the answer differs from what was sent")
+        return answer, BrokenAnswer("the answer differs from what was sent")
     if matched < len(chunk.data):
         del answer.body[position:]
         answer.body.extend(chunk.data[matched:])
@@ -88,19 +90,21 @@
     return _release(answer)
 
 
-def take_end(answer: AnswerState, end: RunEnd) -> tuple[AnswerState, Broken | None]:
+def apply_end(
+    answer: AnswerState, end: RunEnd
+) -> tuple[AnswerState, BrokenAnswer | None]:
     """Check that the answer is whole."""
     if end.chunks != answer.sequence:
-        return answer, Broken(f"{answer.sequence} pieces came of {end.chunks}")
+        return answer, BrokenAnswer(f"{answer.sequence} pieces came of {end.chunks}")
     if answer.position < answer.released:
-        return answer, Broken("the answer is shorter than what was sent")
+        return answer, BrokenAnswer("the answer is shorter than what was sent")
     del answer.body[answer.position :]
     if _is_event_stream(answer) and not has_end_marker(answer.body):
-        return answer, Broken("the answer has no end marker")
+        return answer, BrokenAnswer("the answer has no end marker")
     return answer, None
 
 
-def last_part(answer: AnswerState) -> bytes:
+def unreleased_bytes(answer: AnswerState) -> bytes:
     """Return what was held back."""
     return bytes(answer.body[answer.released :])
 
@@ -113,15 +117,15 @@
 def _release(answer: AnswerState) -> tuple[AnswerState, Release]:
     if not (answer.stream and _is_event_stream(answer)):
         return answer, Release(b"")
-    told = answer.body if answer.position == len(answer.body) else None
-    if told is None:
+    current_body = answer.body if answer.position == len(answer.body) else None
+    if current_body is None:
         return answer, Release(b"")
-    limit = release_limit(told, answer.released)
-    data = bytes(told[answer.released : limit])
+    limit = release_limit(current_body, answer.released)
+    data = bytes(current_body[answer.released : limit])
     return answer._replace(released=limit), Release(data)
 
 
-def _matching(answer: AnswerState, data: bytes) -> int:
+def _matching_length(answer: AnswerState, data: bytes) -> int:
     """Return how many leading bytes of ``data`` are in the body already."""
     if answer.position == len(answer.body):
         return 0
--- a/libs/entry/src/clementinebend_entry/attachment.py
+++ b/libs/entry/src/clementinebend_entry/attachment.py
@@ -54,7 +54,7 @@
         return None
     ATTACHMENTS.labels("retry").inc()
     opening = RunAttach(new_run_id(), call.key, call.body_digest)
-    output.tell_again()
+    output.rewind()
     follower = Follower(link, link.peer.incarnation, opening, call.deadline, output)
     return Attached(follower, await follower.follow(LINK_TIMEOUT_S))
 
--- a/libs/entry/src/clementinebend_entry/following.py
+++ b/libs/entry/src/clementinebend_entry/following.py
@@ -103,7 +103,7 @@
         if peer is None or peer.incarnation != self.incarnation:
             return SidecarGone()
         ATTACHMENTS.labels("link_lost").inc()
-        self.output.tell_again()
+        self.output.rewind()
         self.open()
         return None
 
--- a/tests/unit/entry/test_answer_state.py
+++ b/tests/unit/entry/test_answer_state.py
@@ -5,14 +5,14 @@
 
 from clementinebend_entry.answer_state import (
     AnswerState,
-    Broken,
+    BrokenAnswer,
     Release,
+    apply_chunk,
+    apply_end,
+    apply_head,
     empty_answer,
-    last_part,
-    take_chunk,
-    take_end,
-    take_head,
-    tell_again,
+    rewind,
+    unreleased_bytes,
 )
 from clementinebend_records.identifiers import GrantId, Incarnation, RequestKey, RunId
 from clementinebend_records.messages import Receipt, RunChunk, RunEnd, RunHead
@@ -28,17 +28,17 @@
 
 def begun(stream: bool = True) -> AnswerState:
     head = RunHead(RUN, 200, "text/event-stream" if stream else "application/json")
-    answer, broken = take_head(empty_answer(stream), head)
+    answer, broken = apply_head(empty_answer(stream), head)
     assert broken is None
     return answer
 
 
 def tell(answer: AnswerState, pieces: list[bytes]) -> tuple[AnswerState, bytes]:
     """Take pieces from the start of a telling; return what was released."""
-    answer = tell_again(answer)
+    answer = rewind(answer)
     released = b""
     for sequence, data in enumerate(pieces):
-        answer, result = take_chunk(answer, RunChunk(RUN, sequence, data))
+        answer, result = apply_chunk(answer, RunChunk(RUN, sequence, data))
         assert isinstance(result, Release), result
         released += result.data
     return answer, released
@@ -58,47 +58,47 @@
     answer, late = tell(answer, cut(ANSWER, second))
     assert EVENTS.startswith(early)
     assert early + late == EVENTS
-    answer, broken = take_end(answer, RunEnd(RUN, answer.sequence, RECEIPT))
+    answer, broken = apply_end(answer, RunEnd(RUN, answer.sequence, RECEIPT))
     assert broken is None
-    assert last_part(answer) == DONE
+    assert unreleased_bytes(answer) == DONE
 
 
 def test_a_whole_body_is_kept_back_until_the_end() -> None:
     answer, released = tell(begun(stream=False), [b'{"a":', b"1}"])
     assert released == b""
-    answer, broken = take_end(answer, RunEnd(RUN, 2, RECEIPT))
+    answer, broken = apply_end(answer, RunEnd(RUN, 2, RECEIPT))
     assert broken is None
-    assert last_part(answer) == b'{"a":1}'
+    assert unreleased_bytes(answer) == b'{"a":1}'
 
 
 def test_a_gap_or_a_missing_piece_breaks_the_answer() -> None:
     answer, _ = tell(begun(), [EVENTS])
-    assert isinstance(take_chunk(answer, RunChunk(RUN, 2, DONE))[1], Broken)
-    assert isinstance(take_end(answer, RunEnd(RUN, 2, RECEIPT))[1], Broken)
+    assert isinstance(apply_chunk(answer, RunChunk(RUN, 2, DONE))[1], BrokenAnswer)
+    assert isinstance(apply_end(answer, RunEnd(RUN, 2, RECEIPT))[1], BrokenAnswer)
 
 
 def test_a_stream_without_its_end_marker_is_not_whole() -> None:
     answer, _ = tell(begun(), [EVENTS])
-    assert isinstance(take_end(answer, RunEnd(RUN, 1, RECEIPT))[1], Broken)
+    assert isinstance(apply_end(answer, RunEnd(RUN, 1, RECEIPT))[1], BrokenAnswer)
 
 
 def test_another_runs_answer_is_never_spliced_onto_what_was_sent() -> None:
     answer, released = tell(begun(), [EVENTS])
     assert released == EVENTS
-    answer = tell_again(answer)
+    answer = rewind(answer)
     other = EVENTS.replace(b"2", b"3") + DONE
-    assert isinstance(take_chunk(answer, RunChunk(RUN, 0, other))[1], Broken)
+    assert isinstance(apply_chunk(answer, RunChunk(RUN, 0, other))[1], BrokenAnswer)
 
 
 def test_another_runs_answer_replaces_what_was_not_sent() -> None:
     answer, _ = tell(begun(stream=False), [b"first answer"])
     answer, _ = tell(answer, [b"fir", b"e"])
-    answer, broken = take_end(answer, RunEnd(RUN, 2, RECEIPT))
+    answer, broken = apply_end(answer, RunEnd(RUN, 2, RECEIPT))
     assert broken is None
-    assert last_part(answer) == b"fire"
+    assert unreleased_bytes(answer) == b"fire"
 
 
 def test_a_shorter_telling_than_what_was_sent_is_broken() -> None:
     answer, _ = tell(begun(), [EVENTS])
     answer, _ = tell(answer, [EVENTS[:10]])
-    assert isinstance(take_end(answer, RunEnd(RUN, 1, RECEIPT))[1], Broken)
+    assert isinstance(apply_end(answer, RunEnd(RUN, 1, RECEIPT))[1], BrokenAnswer)
