--- a/libs/entry/src/clementinebend_entry/answer_state.py
+++ b/libs/entry/src/clementinebend_entry/answer_state.py
@@ -1,9 +1,9 @@
-"""One answer as it is put together from a run's messages; pure.
+"""Pure functions that assemble one answer from the messages of a run.
 
-The pieces are checked by sequence. When the answer is told again from its
-start, by an attachment or by another run, bytes that were received are
-compared and not sent twice; an answer that differs from what the caller has
-already got is broken, never spliced.
+Chunks are checked by sequence number. If the answer is transmitted again from
+its start, by an attachment or by another run, bytes received before are
+compared and not sent twice. An answer that differs from what was already sent
+to the caller is broken; parts of two answers are never spliced.
 """
 
 from itertools import takewhile
@@ -17,11 +17,12 @@
 
 
 class AnswerState(NamedTuple):
-    """What was received, and of that what the caller has got.
+    """The bytes received so far and how many were released to the caller.
 
-    ``position`` and ``sequence`` are where the present telling has come to;
-    ``released`` counts bytes of ``body`` that went to the caller. With
-    ``stream`` bytes go on as they come, else only when all is there.
+    ``position`` and ``sequence`` are the byte offset and the next chunk number
+    of the current transmission; ``released`` counts the bytes of ``body`` sent
+    to the caller. With ``stream``, bytes are released as they arrive;
+    otherwise only once the answer is complete.
     """
 
     stream: bool
@@ -34,36 +35,36 @@
 
 
 class Release(NamedTuple):
-    """Bytes that may go to the caller now; often none."""
+    """Bytes to send to the caller now; often empty."""
 
     data: bytes
 
 
 class BrokenAnswer(NamedTuple):
-    """The answer cannot be completed from this telling."""
+    """The answer cannot be completed from the current transmission."""
 
     message: str
 
 
 def empty_answer(stream: bool) -> AnswerState:
-    """Return an answer of which nothing has come."""
+    """Return the state before anything was received."""
     return AnswerState(stream, bytearray())
 
 
 def rewind(answer: AnswerState) -> AnswerState:
-    """Return the answer before a new telling from its start."""
+    """Return the state for a new transmission of the answer from its start."""
     return answer._replace(position=0, sequence=0)
 
 
 def has_begun(answer: AnswerState) -> bool:
-    """Return whether the caller has got a part of the answer."""
+    """Return whether any bytes were released to the caller."""
     return answer.released > 0
 
 
 def apply_head(
     answer: AnswerState, head: RunHead
 ) -> tuple[AnswerState, BrokenAnswer | None]:
-    """Take status and content type."""
+    """Apply the status and content type; fail if they contradict what was sent."""
     same = (answer.status, answer.content_type) == (head.status, head.content_type)
     if has_begun(answer) and not same:
         return answer, BrokenAnswer("the answer begins differently from what was sent")
@@ -73,7 +74,7 @@
 def apply_chunk(
     answer: AnswerState, chunk: RunChunk
 ) -> tuple[AnswerState, Release | BrokenAnswer]:
-    """Take the next piece."""
+    """Apply the next chunk and return the bytes that it releases."""
     if chunk.sequence != answer.sequence:
         problem = f"piece {chunk.sequence} came instead of {answer.sequence}"
         return answer, BrokenAnswer(problem)
@@ -93,7 +94,7 @@
 def apply_end(
     answer: AnswerState, end: RunEnd
 ) -> tuple[AnswerState, BrokenAnswer | None]:
-    """Check that the answer is whole."""
+    """Check that the answer is complete."""
     if end.chunks != answer.sequence:
         return answer, BrokenAnswer(f"{answer.sequence} pieces came of {end.chunks}")
     if answer.position < answer.released:
@@ -105,7 +106,7 @@
 
 
 def unreleased_bytes(answer: AnswerState) -> bytes:
-    """Return what was held back."""
+    """Return the received bytes that were held back so far."""
     return bytes(answer.body[answer.released :])
 
 
@@ -126,7 +127,7 @@
 
 
 def _matching_length(answer: AnswerState, data: bytes) -> int:
-    """Return how many leading bytes of ``data`` are in the body already."""
+    """Return how many leading bytes of ``data`` match the body at ``position``."""
     if answer.position == len(answer.body):
         return 0
     known = answer.body[answer.position : answer.position + len(data)]
