--- a/libs/entry/src/clementinebend_entry/answer_output.py
+++ b/libs/entry/src/clementinebend_entry/answer_output.py
@@ -19,7 +19,7 @@
 from clementinebend_records.messages import RunChunk, RunEnd, RunHead
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     """Do nothing."""
 
 
@@ -30,14 +30,14 @@
         self.answer = empty_answer(stream)
         self.pieces: Queue[Piece] = Queue()
         self.broken = ""
-        self.is_announced = False
+        self.is_head_sent = False
         self.is_finished = False
-        self.on_finish: Callable[[], None] = _nothing
+        self.on_finish: Callable[[], None] = _do_nothing
 
     @property
     def has_begun(self) -> bool:
         """Whether the caller may have got a part of the answer."""
-        return self.is_announced or has_begun(self.answer)
+        return self.is_head_sent or has_begun(self.answer)
 
     def rewind(self) -> None:
         """Expect the answer from its start."""
@@ -46,7 +46,7 @@
     def head(self, head: RunHead) -> None:
         """Take status and content type."""
         self.answer, broken = apply_head(self.answer, head)
-        self.note(broken)
+        self.record_broken(broken)
 
     def chunk(self, chunk: RunChunk) -> None:
         """Take the next piece, unless the answer is broken."""
@@ -54,16 +54,16 @@
             return
         self.answer, result = apply_chunk(self.answer, chunk)
         if isinstance(result, BrokenAnswer):
-            self.note(result)
+            self.record_broken(result)
         elif result.data:
-            self.announce()
+            self.send_head()
             self.put(Part(result.data))
 
     def end(self, end: RunEnd) -> None:
         """Check that the answer is whole."""
         if not self.broken:
             self.answer, broken = apply_end(self.answer, end)
-            self.note(broken)
+            self.record_broken(broken)
 
     def release(self) -> None:
         """Let the caller have what was held back: the end of the answer."""
@@ -81,14 +81,14 @@
         if not self.is_finished:
             self.pieces.put_nowait(piece)
 
-    def announce(self) -> None:
+    def send_head(self) -> None:
         """Let the caller have the head of a streamed answer, once."""
         answer = self.answer
-        if not self.is_announced and answer.status < FIRST_ERROR_STATUS:
-            self.is_announced = True
+        if not self.is_head_sent and answer.status < FIRST_ERROR_STATUS:
+            self.is_head_sent = True
             self.put(Begun(answer.status, answer.content_type))
 
-    def note(self, broken: BrokenAnswer | None) -> None:
+    def record_broken(self, broken: BrokenAnswer | None) -> None:
         """Remember why the answer cannot be completed."""
         if broken is not None and not self.broken:
             self.broken = broken.message
