--- a/libs/entry/src/clementinebend_entry/answer_output.py
+++ b/libs/entry/src/clementinebend_entry/answer_output.py
@@ -1,4 +1,4 @@
-"""Puts an answer together and passes on what the caller may have already."""
+"""Assembles an answer and queues the parts that may be sent to the caller."""
 
 from asyncio import Queue
 from collections.abc import Callable
@@ -24,7 +24,10 @@
 
 
 class AnswerOutput:
-    """One answer on its way; ``broken`` says why it cannot be completed."""
+    """The answer to one call; ``broken`` says why it cannot be completed.
+
+    ``pieces`` is the queue from which the caller is answered.
+    """
 
     def __init__(self, stream: bool) -> None:
         self.answer = empty_answer(stream)
@@ -36,20 +39,20 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether the caller may have got a part of the answer."""
+        """Whether a part of the answer may have been sent to the caller."""
         return self.is_head_sent or has_begun(self.answer)
 
     def rewind(self) -> None:
-        """Expect the answer from its start."""
+        """Expect a new transmission of the answer from its start."""
         self.answer = rewind(self.answer)
 
     def head(self, head: RunHead) -> None:
-        """Take status and content type."""
+        """Apply the status and content type."""
         self.answer, broken = apply_head(self.answer, head)
         self.record_broken(broken)
 
     def chunk(self, chunk: RunChunk) -> None:
-        """Take the next piece, unless the answer is broken."""
+        """Apply the next chunk, unless the answer is broken."""
         if self.broken:
             return
         self.answer, result = apply_chunk(self.answer, chunk)
@@ -60,35 +63,35 @@
             self.put(Part(result.data))
 
     def end(self, end: RunEnd) -> None:
-        """Check that the answer is whole."""
+        """Check that the answer is complete, unless it is broken."""
         if not self.broken:
             self.answer, broken = apply_end(self.answer, end)
             self.record_broken(broken)
 
     def release(self) -> None:
-        """Let the caller have what was held back: the end of the answer."""
+        """Finish with the bytes that were held back: the end of the answer."""
         answer = self.answer
         self.finish(Whole(answer.status, answer.content_type, unreleased_bytes(answer)))
 
     def finish(self, piece: Whole | ErrorOutcome) -> None:
-        """Tell the caller the outcome; what comes after the first is dropped."""
+        """Queue the final outcome; later pieces are dropped."""
         self.put(piece)
         self.is_finished = True
         self.on_finish()
 
     def put(self, piece: Piece) -> None:
-        """Hand a piece to the one who answers the caller."""
+        """Queue a piece for the caller, unless the output is finished."""
         if not self.is_finished:
             self.pieces.put_nowait(piece)
 
     def send_head(self) -> None:
-        """Let the caller have the head of a streamed answer, once."""
+        """Queue the head of a streamed answer, once and unless it is an error."""
         answer = self.answer
         if not self.is_head_sent and answer.status < FIRST_ERROR_STATUS:
             self.is_head_sent = True
             self.put(Begun(answer.status, answer.content_type))
 
     def record_broken(self, broken: BrokenAnswer | None) -> None:
-        """Remember why the answer cannot be completed."""
+        """Record the first reason why the answer cannot be completed."""
         if broken is not None and not self.broken:
             self.broken = broken.message
