--- a/libs/entry/src/clementinebend_entry/admission_gate.py
+++ b/libs/entry/src/clementinebend_entry/admission_gate.py
@@ -33,12 +33,12 @@
         self.state = empty_admission()
         self.retries = empty_retries(retry_ratio)
         self.waiting: dict[str, Future[Verdict]] = {}
-        self.arrived = Event()
+        self.has_waiters = Event()
 
     async def run(self) -> None:
         """Refuse in time those whose deadline passes while they wait."""
         while True:
-            await self.arrived.wait()
+            await self.has_waiters.wait()
             await sleep(EXPIRY_TICK_S)
             self.expire()
 
@@ -60,23 +60,23 @@
         """Wait for the turn of a queued request."""
         reply: Future[Verdict] = self.loop.create_future()
         self.waiting[request] = reply
-        self.arrived.set()
+        self.has_waiters.set()
         try:
             return await reply
         except BaseException:
-            self.leave_unrun(request)
+            self.leave_not_run(request)
             raise
         finally:
             self.waiting.pop(request, None)
             if not self.waiting:
-                self.arrived.clear()
+                self.has_waiters.clear()
 
     def leave(self, request: RunId, tokens: int) -> None:
         """Take the end of a call that ran and cost ``tokens``."""
         self.state, admitted = finish(self.state, request, tokens, self.loop.time())
         self.reply(admitted)
 
-    def leave_unrun(self, request: RunId) -> None:
+    def leave_not_run(self, request: RunId) -> None:
         """Take the end of a call that did not run."""
         self.state, admitted = cancel(self.state, request, self.loop.time())
         self.reply(admitted)
--- a/libs/entry/src/clementinebend_entry/attachment.py
+++ b/libs/entry/src/clementinebend_entry/attachment.py
@@ -19,8 +19,8 @@
 LINK_TIMEOUT_S = 1.0
 """How long the sidecar of an earlier run is waited for."""
 
-TRIES = 5
-TRY_INTERVAL_S = 0.03
+MAX_ATTEMPTS = 5
+RETRY_INTERVAL_S = 0.03
 """A pointer is placed before its run starts, so the run may be on its way."""
 
 
@@ -36,13 +36,13 @@
 ) -> Attached | None:
     """Relay the whole answer of an earlier run; None if it cannot be found."""
     link = services.pool.link_to(standing.endpoint)
-    if link is None or not await is_up(link, call.deadline):
+    if link is None or not await wait_until_up(link, call.deadline):
         return None
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         attached = await attach_once(link, call, output)
-        if attached is None or not is_unknown(attached.result):
+        if attached is None or not is_key_unknown(attached.result):
             return attached
-        await sleep(TRY_INTERVAL_S)
+        await sleep(RETRY_INTERVAL_S)
     return None
 
 
@@ -59,12 +59,12 @@
     return Attached(follower, await follower.follow(LINK_TIMEOUT_S))
 
 
-def is_unknown(result: RunResult) -> bool:
+def is_key_unknown(result: RunResult) -> bool:
     """Return whether the sidecar knows no run of the key."""
     return isinstance(result, RunNotRun) and result.reason is NotRun.UNKNOWN_KEY
 
 
-async def is_up(link: SidecarLink, deadline: float) -> bool:
+async def wait_until_up(link: SidecarLink, deadline: float) -> bool:
     """Wait a short time for a link."""
     left = max(0.0, deadline - monotonic())
     try:
--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -69,7 +69,7 @@
             if self.account.tokens:
                 gate.leave(self.request, self.account.tokens)
             else:
-                gate.leave_unrun(self.request)
+                gate.leave_not_run(self.request)
 
     def abandon(self) -> None:
         """Cancel what can be cancelled; the caller no longer waits.
--- a/libs/entry/src/clementinebend_entry/headers.py
+++ b/libs/entry/src/clementinebend_entry/headers.py
@@ -9,11 +9,11 @@
 
 BEARER = "bearer "
 DEFAULT_PRIORITY = 5
-HIGHEST_PRIORITY = 9
-LONGEST_KEY = 255
+MAX_PRIORITY = 9
+MAX_KEY_LENGTH = 255
 UNAUTHORIZED = 401
 BAD_REQUEST = 400
-DIGITS_MAX = 12
+MAX_DIGITS = 12
 
 
 class CallHeaders(NamedTuple):
@@ -43,12 +43,12 @@
         message = "must be a whole number of milliseconds above 0"
         return Error(BadRequest(BAD_REQUEST, "x-deadline-ms", message))
     priority = _whole_number(headers, "x-priority", DEFAULT_PRIORITY)
-    if priority is None or priority > HIGHEST_PRIORITY:
-        message = f"must be a whole number from 0 to {HIGHEST_PRIORITY}"
+    if priority is None or priority > MAX_PRIORITY:
+        message = f"must be a whole number from 0 to {MAX_PRIORITY}"
         return Error(BadRequest(BAD_REQUEST, "x-priority", message))
     key = headers.get("idempotency-key", "")
-    if len(key) > LONGEST_KEY:
-        message = f"must have at most {LONGEST_KEY} characters"
+    if len(key) > MAX_KEY_LENGTH:
+        message = f"must have at most {MAX_KEY_LENGTH} characters"
         return Error(BadRequest(BAD_REQUEST, "idempotency-key", message))
     return Ok(
         CallHeaders(
@@ -71,6 +71,6 @@
     if name not in headers:
         return default
     text = headers[name].strip()
-    if not (text.isascii() and text.isdigit() and len(text) <= DIGITS_MAX):
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS):
         return None
     return int(text)
--- a/libs/entry/src/clementinebend_entry/model_body.py
+++ b/libs/entry/src/clementinebend_entry/model_body.py
@@ -18,7 +18,7 @@
 MODEL_PATHS = (CHAT_PATH, TEXT_PATH)
 LIMIT_FIELDS = ("max_tokens", "max_completion_tokens")
 SINGLE_FIELDS = ("n", "best_of")
-LARGEST_LIMIT = 1_000_000
+MAX_OUTPUT_LIMIT = 1_000_000
 
 
 class ModelBody(NamedTuple):
@@ -84,13 +84,13 @@
     field = next(wrong, None)
     if field is None:
         return None
-    message = f"must be a whole number from 1 to {LARGEST_LIMIT}"
+    message = f"must be a whole number from 1 to {MAX_OUTPUT_LIMIT}"
     return BadRequest(BAD_REQUEST, field, message)
 
 
 def _is_limit(value: Any) -> bool:
     is_whole = isinstance(value, int) and not isinstance(value, bool)
-    return is_whole and 1 <= value <= LARGEST_LIMIT
+    return is_whole and 1 <= value <= MAX_OUTPUT_LIMIT
 
 
 def _wrong(field: str, message: str) -> Result[ModelBody, BadRequest]:
--- a/tests/unit/entry/test_calls.py
+++ b/tests/unit/entry/test_calls.py
@@ -5,7 +5,7 @@
 import pytest
 
 from clementinebend_entry.calls import Call
-from clementinebend_entry.model_body import LARGEST_LIMIT
+from clementinebend_entry.model_body import MAX_OUTPUT_LIMIT
 from clementinebend_entry.outcomes import BadRequest, Refusal
 from clementinebend_records.identifiers import request_key
 from clementinebend_records.reasons import NotRun
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    "value", [0, -1, True, 1.5, "9", 201, LARGEST_LIMIT + 1, 2**80]
+    "value", [0, -1, True, 1.5, "9", 201, MAX_OUTPUT_LIMIT + 1, 2**80]
 )
 def test_a_wrong_output_limit_names_its_field(value: object) -> None:
     error_outcome = parsed(chat_request(body(max_tokens=value)))
