--- a/libs/entry/src/clementinebend_entry/admission_gate.py
+++ b/libs/entry/src/clementinebend_entry/admission_gate.py
@@ -1,4 +1,4 @@
-"""The owner of the admission state: lets requests in, by team and priority."""
+"""Owns the admission state: admits requests by team and priority."""
 
 from asyncio import Event, Future, get_running_loop, sleep
 from collections.abc import Iterable
@@ -26,7 +26,7 @@
 
 
 class AdmissionGate:
-    """Owns the queues and the retry budgets."""
+    """Owns the admission queues and the retry budgets."""
 
     def __init__(self, retry_ratio: float) -> None:
         self.loop = get_running_loop()
@@ -36,14 +36,14 @@
         self.has_waiters = Event()
 
     async def run(self) -> None:
-        """Refuse in time those whose deadline passes while they wait."""
+        """Refuse queued requests soon after their deadline, while any are queued."""
         while True:
             await self.has_waiters.wait()
             await sleep(EXPIRY_TICK_S)
             self.expire()
 
     async def enter(self, request: RunId, call: Call) -> Refusal | None:
-        """Wait until a call may run; return why it may not, if so."""
+        """Wait until a call is admitted; return the refusal if it is not."""
         arrival = Arrival(
             request, call.team, call.weight, call.priority, call.amount, call.deadline
         )
@@ -57,7 +57,7 @@
         return Refusal(verdict.reason, verdict.retry_after_ms)
 
     async def wait(self, request: RunId) -> Verdict:
-        """Wait for the turn of a queued request."""
+        """Wait for the verdict on a queued request; cancel it if interrupted."""
         reply: Future[Verdict] = self.loop.create_future()
         self.waiting[request] = reply
         self.has_waiters.set()
@@ -72,33 +72,33 @@
                 self.has_waiters.clear()
 
     def leave(self, request: RunId, tokens: int) -> None:
-        """Take the end of a call that ran and cost ``tokens``."""
+        """Release the slot of a call that ran and cost ``tokens``."""
         self.state, admitted = finish(self.state, request, tokens, self.loop.time())
         self.reply(admitted)
 
     def leave_not_run(self, request: RunId) -> None:
-        """Take the end of a call that did not run."""
+        """Release the slot or the queue entry of a call that did not run."""
         self.state, admitted = cancel(self.state, request, self.loop.time())
         self.reply(admitted)
 
     def may_retry(self, team: str) -> bool:
-        """Return whether a further attempt is within the retry budget."""
+        """Return whether the retry budget allows another attempt, and charge it."""
         self.retries, allowed = may_retry(self.retries, team, self.loop.time())
         return allowed
 
     def set_slots(self, slots: int) -> None:
-        """Set how many calls may run at one time."""
+        """Set how many calls may run concurrently."""
         if slots != self.state.capacity.slots:
             self.state, admitted = set_capacity(self.state, slots)
             self.reply(admitted)
 
     def expire(self) -> None:
-        """Refuse those whose deadline has passed."""
+        """Refuse queued requests whose deadline has passed."""
         self.state, refused = expire(self.state, self.loop.time())
         self.reply(refused)
 
     def reply(self, verdicts: Iterable[Verdict]) -> None:
-        """Wake those whose verdict has come."""
+        """Pass verdicts to the requests that wait for them."""
         for verdict in verdicts:
             reply = self.waiting.get(verdict.request)
             if reply is not None and not reply.done():
--- a/libs/entry/src/clementinebend_entry/attachment.py
+++ b/libs/entry/src/clementinebend_entry/attachment.py
@@ -1,4 +1,4 @@
-"""Attaches a retry to the run that its key has already."""
+"""Attaches a retried call to the existing run of its idempotency key."""
 
 from asyncio import sleep, timeout
 from time import monotonic
@@ -17,15 +17,15 @@
 from clementinebend_records.reasons import NotRun
 
 LINK_TIMEOUT_S = 1.0
-"""How long the sidecar of an earlier run is waited for."""
+"""How long to wait for the link to the sidecar of the earlier run."""
 
 MAX_ATTEMPTS = 5
 RETRY_INTERVAL_S = 0.03
-"""A pointer is placed before its run starts, so the run may be on its way."""
+"""Attaching is retried because a pointer is published before its run starts."""
 
 
 class Attached(NamedTuple):
-    """The run was found, and this is how it ended."""
+    """The result of a run that was found, and its follower."""
 
     follower: Follower
     result: RunResult
@@ -34,7 +34,7 @@
 async def attach(
     services: Services, call: Call, standing: Standing, output: AnswerOutput
 ) -> Attached | None:
-    """Relay the whole answer of an earlier run; None if it cannot be found."""
+    """Relay the complete answer of an earlier run; None if it is not found."""
     link = services.pool.link_to(standing.endpoint)
     if link is None or not await wait_until_up(link, call.deadline):
         return None
@@ -49,7 +49,7 @@
 async def attach_once(
     link: SidecarLink, call: Call, output: AnswerOutput
 ) -> Attached | None:
-    """Ask once for the answer of the key's run."""
+    """Attach once to the run of the call's key; None if the link has no peer."""
     if link.peer is None:
         return None
     ATTACHMENTS.labels("retry").inc()
@@ -60,12 +60,12 @@
 
 
 def is_key_unknown(result: RunResult) -> bool:
-    """Return whether the sidecar knows no run of the key."""
+    """Return whether the sidecar reported that the key is unknown."""
     return isinstance(result, RunNotRun) and result.reason is NotRun.UNKNOWN_KEY
 
 
 async def wait_until_up(link: SidecarLink, deadline: float) -> bool:
-    """Wait a short time for a link."""
+    """Wait briefly for a link; return whether it is up."""
     left = max(0.0, deadline - monotonic())
     try:
         async with timeout(min(LINK_TIMEOUT_S, left)):
--- a/libs/entry/src/clementinebend_entry/headers.py
+++ b/libs/entry/src/clementinebend_entry/headers.py
@@ -1,4 +1,4 @@
-"""Headers that callers send: key, deadline, priority and budget."""
+"""Parses the request headers: API key, idempotency key, deadline and others."""
 
 from typing import NamedTuple
 
@@ -17,10 +17,10 @@
 
 
 class CallHeaders(NamedTuple):
-    """What the headers of a request say.
+    """The parsed headers of a request.
 
-    ``deadline_ms`` counts from arrival; a larger one than the fleet allows
-    is lowered to that. ``idempotency_key`` and ``budget`` are empty if absent.
+    ``deadline_ms`` counts from arrival and is capped at the declared maximum.
+    ``idempotency_key`` and ``budget`` are empty if absent.
     """
 
     bearer: str
@@ -33,7 +33,7 @@
 def parse_headers(
     headers: dict[str, str], limits: Limits
 ) -> Result[CallHeaders, BadRequest]:
-    """Return what the headers say, or which one is wrong."""
+    """Return the parsed headers, or the first invalid one."""
     bearer = _bearer(headers.get("authorization", ""))
     if not bearer:
         message = "send the team's key as 'Authorization: Bearer KEY'"
--- a/libs/entry/src/clementinebend_entry/held_stream.py
+++ b/libs/entry/src/clementinebend_entry/held_stream.py
@@ -1,8 +1,8 @@
-"""Holds back the last event of an SSE answer until it may be released.
+"""Finds the end event of an SSE answer, which is held back until completion.
 
-The end is the event ``data: [DONE]``; all bytes before it go on at once. In
-JSON a newline is always escaped, so the marker cannot stand inside an event.
-Source: the OpenAI streaming format over WHATWG server-sent events.
+The end event is ``data: [DONE]``; all bytes before it are released at once.
+JSON escapes newlines, so the marker cannot occur inside an event. The format
+is OpenAI streaming over WHATWG server-sent events.
 """
 
 END_MARKER = b"\ndata: [DONE]"
@@ -11,9 +11,9 @@
 
 
 def release_limit(body: bytearray, released: int) -> int:
-    """Return how many bytes of ``body`` may go to the caller before its end.
+    """Return how many bytes of ``body`` may be sent before the answer ends.
 
-    ``released`` bytes went already; the answer is never below that.
+    The result is at least ``released``, the number of bytes already sent.
     """
     if body.startswith(INITIAL_END_MARKER):
         return 0
@@ -24,14 +24,15 @@
 
 
 def has_end_marker(body: bytearray) -> bool:
-    """Return whether the answer has its end event."""
+    """Return whether the answer contains its end event."""
     return body.startswith(INITIAL_END_MARKER) or END_MARKER in body
 
 
 def _partial_marker_length(body: bytearray) -> int:
-    """Return how many bytes at the end may be the beginning of the end event.
+    """Return how many trailing bytes may be the start of the end event.
 
-    The newline before it belongs to the event before and is not held.
+    The newline before the end event belongs to the previous event and is not
+    held back.
     """
     if INITIAL_END_MARKER.startswith(body):
         return len(body)
--- a/libs/entry/src/clementinebend_entry/model_body.py
+++ b/libs/entry/src/clementinebend_entry/model_body.py
@@ -1,8 +1,8 @@
-"""The JSON body of a request to a model: checked before anything is paid.
+"""Validates the JSON body of a model request before tokens are reserved.
 
-Only what decides routing and cost is read; the rest is the engine's. A field
-that would multiply the output (``n``, ``best_of``, several prompts) is
-refused, since the reservation is for one output.
+Only the fields that determine routing and cost are read; the engine handles
+the rest. A field that multiplies the output (``n``, ``best_of``, several
+prompts) is rejected because the reservation covers one output.
 """
 
 from json import JSONDecodeError, loads
@@ -22,7 +22,7 @@
 
 
 class ModelBody(NamedTuple):
-    """What an entry reads from the body; ``limit`` 0 means that none is set."""
+    """The fields that an entry reads; ``limit`` is 0 if no limit is set."""
 
     model: str
     limit: int
@@ -30,7 +30,7 @@
 
 
 def parse_model_body(path: str, body: bytes) -> Result[ModelBody, BadRequest]:
-    """Return what routing and cost need, or which field is wrong."""
+    """Return the fields for routing and cost, or which field is invalid."""
     try:
         value = loads(body.decode("utf-8"))
     except UnicodeDecodeError:
