--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -19,7 +19,7 @@
 from clementinebend_entry.metrics import RUNS
 from clementinebend_entry.outcomes import Refusal, Unknown
 from clementinebend_entry.pointer_desk import Standing
-from clementinebend_entry.run_opening import run_start, ticket_for
+from clementinebend_entry.run_opening import build_run_start, build_ticket
 from clementinebend_entry.run_results import (
     RunWhole,
 )
@@ -146,7 +146,7 @@
             return None
         if not ledger.is_witness(self.call.budget, peer.incarnation):
             return None
-        return ticket_for(reservation, peer)
+        return build_ticket(reservation, peer)
 
     async def place_pointer(self, endpoint: str) -> Standing | None:
         """Publish a pointer to this run; return that of an earlier run, if any."""
@@ -184,7 +184,7 @@
     async def dispatch(self, link: SidecarLink, choice: Choice, ticket: Ticket) -> None:
         """Send the run to its sidecar, follow it, and handle its result."""
         call, router = self.call, self.services.router
-        start = run_start(call, self.run_id, ticket)
+        start = build_run_start(call, self.run_id, ticket)
         self.follower = Follower(
             link, ticket.sidecar, start, call.deadline, self.output
         )
--- a/libs/entry/src/clementinebend_entry/responder.py
+++ b/libs/entry/src/clementinebend_entry/responder.py
@@ -31,20 +31,20 @@
 async def respond(execution: Execution, on_end: OnEnd) -> Response:
     """Return the answer to a call; ``on_end`` is told when it has ended."""
     loop = get_running_loop()
-    timer = loop.call_at(execution.call.deadline, expire, execution)
+    timer = loop.call_at(execution.call.deadline, on_deadline, execution)
     execution.output.on_finish = timer.cancel
     try:
         piece = await execution.output.pieces.get()
     except BaseException:
-        leave(execution)
+        on_disconnect(execution)
         on_end()
         raise
     if isinstance(piece, Begun):
         headers = (("content-type", piece.content_type), ("cache-control", "no-store"))
-        return Response(piece.status, headers, stream(execution, on_end))
+        return Response(piece.status, headers, stream_body(execution, on_end))
     on_end()
     if isinstance(piece, Whole):
-        count(Outcome.WHOLE)
+        count_outcome(Outcome.WHOLE)
         return Response(
             piece.status, (("content-type", piece.content_type),), piece.data
         )
@@ -53,7 +53,7 @@
     return error_response(piece)
 
 
-async def stream(execution: Execution, on_end: OnEnd) -> AsyncIterator[bytes]:
+async def stream_body(execution: Execution, on_end: OnEnd) -> AsyncIterator[bytes]:
     """Yield a streamed answer; raise if it cannot be completed."""
     is_ended = False
     try:
@@ -63,7 +63,7 @@
             if isinstance(piece, Part):
                 yield piece.data
             elif isinstance(piece, Whole):
-                count(Outcome.WHOLE)
+                count_outcome(Outcome.WHOLE)
                 yield piece.data
             elif not isinstance(piece, Begun):
                 count_error(piece)
@@ -71,11 +71,11 @@
                 raise AnswerCutOff(type(piece).__name__)
     finally:
         if not is_ended:
-            leave(execution)
+            on_disconnect(execution)
         on_end()
 
 
-def expire(execution: Execution) -> None:
+def on_deadline(execution: Execution) -> None:
     """Tell the caller at its deadline what is known, unless all was told."""
     if execution.output.is_finished:
         return
@@ -88,7 +88,7 @@
         execution.tell(Refusal(NotRun.DEADLINE, DEADLINE_RETRY_MS))
 
 
-def leave(execution: Execution) -> None:
+def on_disconnect(execution: Execution) -> None:
     """Take in that the caller has left."""
     ABANDONED.inc()
     execution.abandon()
@@ -98,15 +98,15 @@
     """Count an outcome other than a whole answer."""
     match error_outcome:
         case Refusal():
-            count(Outcome.NOT_RUN, error_outcome.reason)
+            count_outcome(Outcome.NOT_RUN, error_outcome.reason)
         case Failed():
-            count(Outcome.FAILED)
+            count_outcome(Outcome.FAILED)
         case Unknown():
-            count(Outcome.UNKNOWN)
+            count_outcome(Outcome.UNKNOWN)
         case BadRequest():
             REQUESTS.labels("bad_request", error_outcome.field).inc()
 
 
-def count(outcome: Outcome, reason: str = "") -> None:
+def count_outcome(outcome: Outcome, reason: str = "") -> None:
     """Count an answered request."""
     REQUESTS.labels(outcome, reason).inc()
--- a/libs/entry/src/clementinebend_entry/run_opening.py
+++ b/libs/entry/src/clementinebend_entry/run_opening.py
@@ -6,7 +6,7 @@
 from clementinebend_records.messages import Hello, RunStart, Ticket
 
 
-def run_start(call: Call, run: RunId, ticket: Ticket) -> RunStart:
+def build_run_start(call: Call, run: RunId, ticket: Ticket) -> RunStart:
     """Return the opening of a run; its deadline is set when it is sent."""
     return RunStart(
         run=run,
@@ -25,7 +25,7 @@
     )
 
 
-def ticket_for(reservation: Reservation, sidecar: Hello) -> Ticket:
+def build_ticket(reservation: Reservation, sidecar: Hello) -> Ticket:
     """Return the ticket that lets a sidecar execute a reserved run."""
     return Ticket(
         reservation.budget,
--- a/libs/entry/src/clementinebend_entry/services.py
+++ b/libs/entry/src/clementinebend_entry/services.py
@@ -12,7 +12,7 @@
 from clementinebend_entry.router import Router
 from clementinebend_entry.sidecar_pool import SidecarPool
 
-Watch = Callable[["Task[None]"], None]
+WatchTask = Callable[["Task[None]"], None]
 
 
 class Services(NamedTuple):
@@ -25,4 +25,4 @@
     claims: ClaimsDesk
     pointers: PointerDesk
     receipts: ReceiptDesk
-    watch: Watch
+    watch: WatchTask
