--- a/libs/entry/src/clementinebend_entry/responder.py
+++ b/libs/entry/src/clementinebend_entry/responder.py
@@ -1,7 +1,7 @@
-"""Answers one caller from the pieces of an execution.
+"""Builds the HTTP response to one caller from the pieces of an execution.
 
-A caller is answered at its deadline at the latest. One that leaves is not
-waited for: what was not dispatched is withdrawn, what was is billed.
+A caller is answered by its deadline at the latest. If it disconnects, a call
+that was not dispatched is withdrawn, and a dispatched one is still billed.
 """
 
 from asyncio import get_running_loop
@@ -29,7 +29,7 @@
 
 
 async def respond(execution: Execution, on_end: OnEnd) -> Response:
-    """Return the answer to a call; ``on_end`` is told when it has ended."""
+    """Return the response to a call; ``on_end`` is called when it has ended."""
     loop = get_running_loop()
     timer = loop.call_at(execution.call.deadline, on_deadline, execution)
     execution.output.on_finish = timer.cancel
@@ -54,7 +54,7 @@
 
 
 async def stream_body(execution: Execution, on_end: OnEnd) -> AsyncIterator[bytes]:
-    """Yield a streamed answer; raise if it cannot be completed."""
+    """Yield the chunks of a streamed answer; raise if it cannot be completed."""
     is_ended = False
     try:
         while not is_ended:
@@ -76,7 +76,7 @@
 
 
 def on_deadline(execution: Execution) -> None:
-    """Tell the caller at its deadline what is known, unless all was told."""
+    """Answer the caller with what is known at its deadline, if still unanswered."""
     if execution.output.is_finished:
         return
     execution.abandon()
@@ -89,13 +89,13 @@
 
 
 def on_disconnect(execution: Execution) -> None:
-    """Take in that the caller has left."""
+    """Count the disconnect of a caller and abandon its execution."""
     ABANDONED.inc()
     execution.abandon()
 
 
 def count_error(error_outcome: ErrorOutcome) -> None:
-    """Count an outcome other than a whole answer."""
+    """Count an error outcome."""
     match error_outcome:
         case Refusal():
             count_outcome(Outcome.NOT_RUN, error_outcome.reason)
