--- a/libs/entry/src/clementinebend_entry/outcomes.py
+++ b/libs/entry/src/clementinebend_entry/outcomes.py
@@ -1,4 +1,4 @@
-"""Typed outcomes of a request that did not give a whole answer."""
+"""Typed outcomes of a request that produced no complete answer."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class BadRequest(NamedTuple):
-    """The request itself is wrong; ``field`` names the part at fault."""
+    """The request itself is invalid; ``field`` names the offending part."""
 
     status: int
     field: str
@@ -16,8 +16,8 @@
 class Refusal(NamedTuple):
     """The request did not run and will not be billed.
 
-    ``retry_after_ms`` says when it is worth coming back; ``status`` replaces
-    the status that goes with the reason.
+    ``retry_after_ms`` is the suggested delay before a retry; a nonzero
+    ``status`` overrides the HTTP status of the reason.
     """
 
     reason: NotRun
@@ -27,13 +27,13 @@
 
 
 class Failed(NamedTuple):
-    """The request ran and gave no whole answer."""
+    """The request ran but produced no complete answer."""
 
     message: str
 
 
 class Unknown(NamedTuple):
-    """Nobody can say now whether the request ran."""
+    """It cannot be determined whether the request ran."""
 
     message: str
 
--- a/libs/entry/src/clementinebend_entry/run_events.py
+++ b/libs/entry/src/clementinebend_entry/run_events.py
@@ -1,4 +1,4 @@
-"""What a link to a sidecar tells of one run."""
+"""Events of one run that a sidecar link delivers."""
 
 from typing import NamedTuple
 
@@ -13,7 +13,7 @@
 
 
 class LinkLost(NamedTuple):
-    """The connection ended while the run was open on it."""
+    """The connection closed while the run was in progress on it."""
 
 
 RunEvent = RunAccepted | RunRefused | RunHead | RunChunk | RunEnd | RunFailed | LinkLost
--- a/libs/entry/src/clementinebend_entry/run_opening.py
+++ b/libs/entry/src/clementinebend_entry/run_opening.py
@@ -1,4 +1,4 @@
-"""The message that asks a sidecar to execute a call."""
+"""Builds the messages that ask a sidecar to execute a call."""
 
 from clementinebend_entry.budget_waits import Reservation
 from clementinebend_entry.calls import Call
@@ -7,7 +7,7 @@
 
 
 def build_run_start(call: Call, run: RunId, ticket: Ticket) -> RunStart:
-    """Return the opening of a run; its deadline is set when it is sent."""
+    """Return the message that starts a run; its deadline is set when it is sent."""
     return RunStart(
         run=run,
         key=call.key,
--- a/libs/entry/src/clementinebend_entry/run_results.py
+++ b/libs/entry/src/clementinebend_entry/run_results.py
@@ -1,4 +1,4 @@
-"""How a run ended, as far as this entry knows."""
+"""Results of a run as known to this entry."""
 
 from typing import NamedTuple
 
@@ -7,33 +7,33 @@
 
 
 class RunWhole(NamedTuple):
-    """The endpoint gave a whole answer."""
+    """The endpoint returned a complete answer."""
 
     receipt: Receipt
 
 
 class RunNotRun(NamedTuple):
-    """It is proved that the run did not take place."""
+    """The run is proved not to have executed."""
 
     reason: NotRun
     retry_after_ms: int
 
 
 class RunBroke(NamedTuple):
-    """The run began and failed; ``receipt`` is what it cost."""
+    """The run started and failed; ``receipt`` states its cost."""
 
     message: str
     receipt: Receipt
 
 
 class RunUncertain(NamedTuple):
-    """The sidecar cannot say what the run did or cost."""
+    """The sidecar does not know what the run did or cost."""
 
     message: str
 
 
 class SidecarGone(NamedTuple):
-    """Another incarnation answers at the sidecar's address."""
+    """Another incarnation now serves the sidecar's address."""
 
 
 class SidecarUnreachable(NamedTuple):
--- a/libs/entry/src/clementinebend_entry/services.py
+++ b/libs/entry/src/clementinebend_entry/services.py
@@ -1,4 +1,4 @@
-"""The owners of state that an execution talks to."""
+"""The stateful components that an execution uses."""
 
 from asyncio import Task
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class Services(NamedTuple):
-    """All of them; ``watch`` is given tasks that a planned stop waits for."""
+    """The components; ``watch`` registers tasks that a graceful stop waits for."""
 
     gate: AdmissionGate
     router: Router
