--- a/libs/entry/src/clementinebend_entry/answer_state.py
+++ b/libs/entry/src/clementinebend_entry/answer_state.py
@@ -9,7 +9,7 @@
 from itertools import takewhile
 from typing import NamedTuple
 
-from clementinebend_entry.held_stream import has_end_marker, release_limit
+from clementinebend_entry.sse_end_event import has_end_marker, release_limit
 from clementinebend_records.messages import RunChunk, RunEnd, RunHead
 
 EVENT_STREAM = "text/event-stream"
