--- a/tests/unit/entry/scripted.py
+++ b/tests/unit/entry/scripted.py
@@ -38,7 +38,7 @@
 
 ZONE = "zone-a"
 BUDGET = "desk-2026"
-LONG = 30.0
+TIMEOUT_S = 30.0
 """Seconds; only a test that fails reaches it."""
 
 Send = Callable[[Message], None]
@@ -81,12 +81,12 @@
     send(RunFailed(start.run, "engine died", receipt_of(start, 3, False)))
 
 
-def fail_unsure(start: RunStart, send: Send) -> None:
+def fail_uncertain(start: RunStart, send: Send) -> None:
     """Fail each run without knowing what it did."""
     send(RunFailed(start.run, "no answer"))
 
 
-def leave_gap(start: RunStart, send: Send) -> None:
+def omit_chunk(start: RunStart, send: Send) -> None:
     """Lose the middle piece of a stream."""
     send(RunHead(start.run, 200, "text/event-stream"))
     send(RunChunk(start.run, 0, b"data: 1\n\n"))
@@ -94,7 +94,7 @@
     send(RunEnd(start.run, 3, receipt_of(start, 7)))
 
 
-def know_no_run(attach: RunAttach, send: Send) -> None:
+def refuse_attachment(attach: RunAttach, send: Send) -> None:
     """Refuse to attach."""
     send(RunRefused(attach.attachment, NotRun.UNKNOWN_KEY, 0))
 
@@ -112,9 +112,9 @@
         self.act = act
         self.zone = zone
         self.incarnation = new_incarnation(name)
-        self.attach: Attach = know_no_run
+        self.attach: Attach = refuse_attachment
         self.started: list[RunStart] = []
-        self.heard: list[Message] = []
+        self.received_messages: list[Message] = []
         self.streams: set[MessageStream] = set()
         self.changed = Event()
 
@@ -125,7 +125,7 @@
         )
         self.streams.add(stream)
         while (message := await stream.receive()) is not None:
-            self.heard.append(message)
+            self.received_messages.append(message)
             if isinstance(message, RunStart):
                 self.started.append(message)
                 self.act(message, stream.post)
@@ -140,12 +140,14 @@
         """Wait until something that came makes ``condition`` hold."""
         while not condition():
             self.changed.clear()
-            await wait_for(self.changed.wait(), LONG)
+            await wait_for(self.changed.wait(), TIMEOUT_S)
 
-    async def until_told_logged(self) -> None:
+    async def until_receipts_logged(self) -> None:
         """Wait until the entry says that receipts are on the log."""
         await self.until(
-            lambda: any(isinstance(each, ReceiptsLogged) for each in self.heard)
+            lambda: any(
+                isinstance(each, ReceiptsLogged) for each in self.received_messages
+            )
         )
 
     async def restart(self, act: Act) -> None:
@@ -182,7 +184,7 @@
 
     async def ask(self, request: Request) -> Response:
         """Have one request answered."""
-        return await wait_for(self.handle(request), LONG)
+        return await wait_for(self.handle(request), TIMEOUT_S)
 
     def summary(self) -> BudgetSummary:
         """Return the budget's accounts as this entry has read them."""
@@ -191,7 +193,7 @@
 
     async def until_settled(self) -> BudgetSummary:
         """Wait until all that ran is billed on the log."""
-        await wait_for(self.fleet.ledger.until_settled(), LONG)
+        await wait_for(self.fleet.ledger.until_settled(), TIMEOUT_S)
         return self.summary()
 
 
@@ -239,4 +241,4 @@
     ledger = fleet.ledger
     while not all(ledger.is_witness(BUDGET, each.incarnation) for each in sidecars):
         ledger.changed.clear()
-        await wait_for(ledger.changed.wait(), LONG)
+        await wait_for(ledger.changed.wait(), TIMEOUT_S)
--- a/tests/unit/entry/test_answer_state.py
+++ b/tests/unit/entry/test_answer_state.py
@@ -26,14 +26,14 @@
 ANSWER = EVENTS + DONE
 
 
-def begun(stream: bool = True) -> AnswerState:
+def started_answer(stream: bool = True) -> AnswerState:
     head = RunHead(RUN, 200, "text/event-stream" if stream else "application/json")
     answer, broken = apply_head(empty_answer(stream), head)
     assert broken is None
     return answer
 
 
-def tell(answer: AnswerState, pieces: list[bytes]) -> tuple[AnswerState, bytes]:
+def transmit(answer: AnswerState, pieces: list[bytes]) -> tuple[AnswerState, bytes]:
     """Take pieces from the start of a telling; return what was released."""
     answer = rewind(answer)
     released = b""
@@ -44,7 +44,7 @@
     return answer, released
 
 
-def cut(data: bytes, places: list[int]) -> list[bytes]:
+def split(data: bytes, places: list[int]) -> list[bytes]:
     ends = sorted({place % (len(data) + 1) for place in places} | {0, len(data)})
     return [data[a:b] for a, b in zip(ends, ends[1:], strict=False)]
 
@@ -53,9 +53,9 @@
 def test_however_cut_and_told_again_the_answer_is_whole_and_its_end_held(
     first: list[int], second: list[int], lost_after: int
 ) -> None:
-    pieces = cut(ANSWER, first)
-    answer, early = tell(begun(), pieces[: lost_after % (len(pieces) + 1)])
-    answer, late = tell(answer, cut(ANSWER, second))
+    pieces = split(ANSWER, first)
+    answer, early = transmit(started_answer(), pieces[: lost_after % (len(pieces) + 1)])
+    answer, late = transmit(answer, split(ANSWER, second))
     assert EVENTS.startswith(early)
     assert early + late == EVENTS
     answer, broken = apply_end(answer, RunEnd(RUN, answer.sequence, RECEIPT))
@@ -64,7 +64,7 @@
 
 
 def test_a_whole_body_is_kept_back_until_the_end() -> None:
-    answer, released = tell(begun(stream=False), [b'{"a":', b"1}"])
+    answer, released = transmit(started_answer(stream=False), [b'{"a":', b"1}"])
     assert released == b""
     answer, broken = apply_end(answer, RunEnd(RUN, 2, RECEIPT))
     assert broken is None
@@ -72,18 +72,18 @@
 
 
 def test_a_gap_or_a_missing_piece_breaks_the_answer() -> None:
-    answer, _ = tell(begun(), [EVENTS])
+    answer, _ = transmit(started_answer(), [EVENTS])
     assert isinstance(apply_chunk(answer, RunChunk(RUN, 2, DONE))[1], BrokenAnswer)
     assert isinstance(apply_end(answer, RunEnd(RUN, 2, RECEIPT))[1], BrokenAnswer)
 
 
 def test_a_stream_without_its_end_marker_is_not_whole() -> None:
-    answer, _ = tell(begun(), [EVENTS])
+    answer, _ = transmit(started_answer(), [EVENTS])
     assert isinstance(apply_end(answer, RunEnd(RUN, 1, RECEIPT))[1], BrokenAnswer)
 
 
 def test_another_runs_answer_is_never_spliced_onto_what_was_sent() -> None:
-    answer, released = tell(begun(), [EVENTS])
+    answer, released = transmit(started_answer(), [EVENTS])
     assert released == EVENTS
     answer = rewind(answer)
     other = EVENTS.replace(b"2", b"3") + DONE
@@ -91,14 +91,14 @@
 
 
 def test_another_runs_answer_replaces_what_was_not_sent() -> None:
-    answer, _ = tell(begun(stream=False), [b"first answer"])
-    answer, _ = tell(answer, [b"fir", b"e"])
+    answer, _ = transmit(started_answer(stream=False), [b"first answer"])
+    answer, _ = transmit(answer, [b"fir", b"e"])
     answer, broken = apply_end(answer, RunEnd(RUN, 2, RECEIPT))
     assert broken is None
     assert unreleased_bytes(answer) == b"fire"
 
 
 def test_a_shorter_telling_than_what_was_sent_is_broken() -> None:
-    answer, _ = tell(begun(), [EVENTS])
-    answer, _ = tell(answer, [EVENTS[:10]])
+    answer, _ = transmit(started_answer(), [EVENTS])
+    answer, _ = transmit(answer, [EVENTS[:10]])
     assert isinstance(apply_end(answer, RunEnd(RUN, 1, RECEIPT))[1], BrokenAnswer)
--- a/tests/unit/entry/test_execution.py
+++ b/tests/unit/entry/test_execution.py
@@ -31,8 +31,8 @@
     Send,
     accept_only,
     fail,
-    fail_unsure,
-    leave_gap,
+    fail_uncertain,
+    omit_chunk,
     refuse,
     scripted_entry,
     whole,
@@ -81,8 +81,8 @@
         answer = await asked
         assert answer.status == 200
         assert (await entry.until_settled()).billed == 5
-        await sidecars[0].until_told_logged()
-        await sidecars[1].until_told_logged()
+        await sidecars[0].until_receipts_logged()
+        await sidecars[1].until_receipts_logged()
 
 
 async def test_a_run_that_fails_for_good_is_billed_and_told() -> None:
@@ -94,7 +94,7 @@
 
 
 async def test_a_run_nobody_can_tell_of_is_held_and_unknown() -> None:
-    async with scripted_entry(ScriptedSidecar("engine-1", fail_unsure)) as entry:
+    async with scripted_entry(ScriptedSidecar("engine-1", fail_uncertain)) as entry:
         answer = await entry.ask(chat_request())
         assert answer.status == 504
         summary = await entry.until_settled()
@@ -103,7 +103,7 @@
 
 
 async def test_a_stream_with_a_lost_piece_is_cut_off_and_billed() -> None:
-    async with scripted_entry(ScriptedSidecar("engine-1", leave_gap)) as entry:
+    async with scripted_entry(ScriptedSidecar("engine-1", omit_chunk)) as entry:
         answer = await entry.ask(chat_request(STREAMED))
         assert not isinstance(answer.body, bytes)
         received = b""
@@ -165,7 +165,9 @@
         assert answer.status == 504
         assert error_of(answer)["type"] == "outcome_unknown"
         await sidecar.until(
-            lambda: any(isinstance(each, RunCancel) for each in sidecar.heard)
+            lambda: any(
+                isinstance(each, RunCancel) for each in sidecar.received_messages
+            )
         )
         assert (await entry.until_settled()).billed == 2
 
