--- a/tests/unit/entry/test_answer_state.py
+++ b/tests/unit/entry/test_answer_state.py
@@ -50,7 +50,7 @@
 
 
 @given(st.lists(st.integers(0, 200)), st.lists(st.integers(0, 200)), st.integers(0, 99))
-def test_however_cut_and_told_again_the_answer_is_whole_and_its_end_held(
+def test_any_split_and_retransmission_gives_a_whole_answer_with_its_end_held(
     first: list[int], second: list[int], lost_after: int
 ) -> None:
     pieces = split(ANSWER, first)
@@ -98,7 +98,7 @@
     assert unreleased_bytes(answer) == b"fire"
 
 
-def test_a_shorter_telling_than_what_was_sent_is_broken() -> None:
+def test_a_shorter_transmission_than_what_was_sent_is_broken() -> None:
     answer, _ = transmit(started_answer(), [EVENTS])
     answer, _ = transmit(answer, [EVENTS[:10]])
     assert isinstance(apply_end(answer, RunEnd(RUN, 1, RECEIPT))[1], BrokenAnswer)
--- a/tests/unit/entry/test_calls.py
+++ b/tests/unit/entry/test_calls.py
@@ -133,5 +133,5 @@
     assert booking.amount == 50
 
 
-def test_a_wished_budget_is_used() -> None:
+def test_a_requested_budget_is_used() -> None:
     assert parsed(chat_request(x_budget="desk-extra")).budget == "desk-extra"
--- a/tests/unit/entry/test_execution.py
+++ b/tests/unit/entry/test_execution.py
@@ -85,7 +85,7 @@
         await sidecars[1].until_receipts_logged()
 
 
-async def test_a_run_that_fails_for_good_is_billed_and_told() -> None:
+async def test_a_run_that_fails_for_good_is_billed_and_reported() -> None:
     async with scripted_entry(ScriptedSidecar("engine-1", fail)) as entry:
         answer = await entry.ask(chat_request())
         assert answer.status == 502
@@ -93,7 +93,7 @@
         assert (await entry.until_settled()).billed == 3
 
 
-async def test_a_run_nobody_can_tell_of_is_held_and_unknown() -> None:
+async def test_a_run_of_uncertain_outcome_is_held_and_unknown() -> None:
     async with scripted_entry(ScriptedSidecar("engine-1", fail_uncertain)) as entry:
         answer = await entry.ask(chat_request())
         assert answer.status == 504
