--- a/tests/unit/entry/scripted.py
+++ b/tests/unit/entry/scripted.py
@@ -1,4 +1,4 @@
-"""One entry in this process, before sidecars that follow a script."""
+"""Runs one entry in this process with scripted sidecars."""
 
 from asyncio import Event, Task, create_task, gather, wait_for
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -39,7 +39,7 @@
 ZONE = "zone-a"
 BUDGET = "desk-2026"
 TIMEOUT_S = 30.0
-"""Seconds; only a test that fails reaches it."""
+"""Only a failing test reaches this timeout."""
 
 Send = Callable[[Message], None]
 Act = Callable[[RunStart, Send], None]
@@ -76,18 +76,18 @@
 
 
 def fail(start: RunStart, send: Send) -> None:
-    """Fail each run after it began, at a known cost."""
+    """Fail each run after it started, at a known cost."""
     send(RunAccepted(start.run, start.run))
     send(RunFailed(start.run, "engine died", receipt_of(start, 3, False)))
 
 
 def fail_uncertain(start: RunStart, send: Send) -> None:
-    """Fail each run without knowing what it did."""
+    """Fail each run without a receipt, so that its outcome is uncertain."""
     send(RunFailed(start.run, "no answer"))
 
 
 def omit_chunk(start: RunStart, send: Send) -> None:
-    """Lose the middle piece of a stream."""
+    """Omit the middle chunk of a stream."""
     send(RunHead(start.run, 200, "text/event-stream"))
     send(RunChunk(start.run, 0, b"data: 1\n\n"))
     send(RunChunk(start.run, 2, b"data: 3\n\ndata: [DONE]\n\n"))
@@ -95,17 +95,17 @@
 
 
 def refuse_attachment(attach: RunAttach, send: Send) -> None:
-    """Refuse to attach."""
+    """Refuse to attach because the key is unknown."""
     send(RunRefused(attach.attachment, NotRun.UNKNOWN_KEY, 0))
 
 
 def accept_only(start: RunStart, send: Send) -> None:
-    """Begin each run and say no more."""
+    """Accept each run and send nothing else."""
     send(RunAccepted(start.run, start.run))
 
 
 class ScriptedSidecar:
-    """Does ``act`` for each run; ``started`` and ``heard`` are what came."""
+    """Runs ``act`` for each run and records the messages that it receives."""
 
     def __init__(self, name: str, act: Act, zone: str = ZONE) -> None:
         self.name = name
@@ -119,7 +119,7 @@
         self.changed = Event()
 
     async def serve(self, stream: MessageStream) -> None:
-        """Serve one entry."""
+        """Serve the connection of one entry."""
         stream.post(
             Hello("sidecar", self.name, self.incarnation, self.zone, SCHEMA_VERSION, 1)
         )
@@ -137,13 +137,13 @@
             self.changed.set()
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        """Wait until something that came makes ``condition`` hold."""
+        """Wait until a received message makes ``condition`` true."""
         while not condition():
             self.changed.clear()
             await wait_for(self.changed.wait(), TIMEOUT_S)
 
     async def until_receipts_logged(self) -> None:
-        """Wait until the entry says that receipts are on the log."""
+        """Wait until the entry reports that receipts are on the log."""
         await self.until(
             lambda: any(
                 isinstance(each, ReceiptsLogged) for each in self.received_messages
@@ -151,13 +151,13 @@
         )
 
     async def restart(self, act: Act) -> None:
-        """Come back as another incarnation that remembers nothing."""
+        """Restart as another incarnation without any state."""
         self.incarnation = new_incarnation(self.name)
         self.act = act
         await self.drop_connections()
 
     async def drop_connections(self) -> None:
-        """Break all connections."""
+        """Abort all connections."""
         streams, self.streams = self.streams, set()
         for stream in streams:
             stream.channel.abort()
@@ -176,23 +176,23 @@
 
 
 class ScriptedEntry:
-    """An entry's owners of state and its handler."""
+    """The components of an entry and its request handler."""
 
     def __init__(self, fleet: Fleet, handle: Callable[[Request], Awaitable[Response]]):
         self.fleet = fleet
         self.handle = handle
 
     async def ask(self, request: Request) -> Response:
-        """Have one request answered."""
+        """Send one request and return the response."""
         return await wait_for(self.handle(request), TIMEOUT_S)
 
     def summary(self) -> BudgetSummary:
-        """Return the budget's accounts as this entry has read them."""
+        """Return the summary of the budget as this entry has replayed it."""
         shard = self.fleet.ledger.shards.of_budget(BUDGET)
         return budget_summary(shard.state, BUDGET)
 
     async def until_settled(self) -> BudgetSummary:
-        """Wait until all that ran is billed on the log."""
+        """Wait until all runs are billed on the log, then return the summary."""
         await wait_for(self.fleet.ledger.until_settled(), TIMEOUT_S)
         return self.summary()
 
@@ -201,7 +201,7 @@
 async def scripted_entry(
     *sidecars: ScriptedSidecar, service: str = "chat", tokens: int = 1000
 ) -> AsyncIterator[ScriptedEntry]:
-    """Give an entry whose endpoints are these sidecars, all of one service."""
+    """Run an entry whose endpoints are these sidecars, all of one service."""
     log = await serve_http(log_handler(), "127.0.0.1", 0)
     servers = [await serve_messages(each.serve, "127.0.0.1", 0) for each in sidecars]
     url = f"http://127.0.0.1:{log.port}"
--- a/tests/unit/entry/test_answer_state.py
+++ b/tests/unit/entry/test_answer_state.py
@@ -1,4 +1,4 @@
-"""An answer is relayed whole, once, and its end is held back."""
+"""Tests that an answer is relayed completely, once, with its end held back."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -34,7 +34,7 @@
 
 
 def transmit(answer: AnswerState, pieces: list[bytes]) -> tuple[AnswerState, bytes]:
-    """Take pieces from the start of a telling; return what was released."""
+    """Apply chunks from the start of a transmission; return released bytes."""
     answer = rewind(answer)
     released = b""
     for sequence, data in enumerate(pieces):
--- a/tests/unit/entry/test_answers.py
+++ b/tests/unit/entry/test_answers.py
@@ -1,4 +1,4 @@
-"""What callers are told."""
+"""Tests of the HTTP responses for error outcomes."""
 
 from json import loads
 
--- a/tests/unit/entry/test_calls.py
+++ b/tests/unit/entry/test_calls.py
@@ -1,4 +1,4 @@
-"""Requests that are checked before anything is paid."""
+"""Tests of request validation before tokens are reserved."""
 
 from typing import Any
 
--- a/tests/unit/entry/test_execution.py
+++ b/tests/unit/entry/test_execution.py
@@ -1,4 +1,4 @@
-"""Attempts, retries and outcomes, before sidecars that follow a script."""
+"""Tests of attempts, retries and outcomes with scripted sidecars."""
 
 from asyncio import create_task, gather
 from json import loads
@@ -268,7 +268,7 @@
 
 
 def receipt_for(attach: RunAttach) -> Receipt:
-    """Return the receipt of the run that another entry began."""
+    """Return the receipt of a run that another entry started."""
     grant = GrantId("entry-9#a/1")
     return Receipt(
         attach.key, RunId("r1"), BUDGET, grant, RIVAL, "engine-1", 5, succeeded=True
