--- a/libs/entry/src/clementinebend_entry/pieces.py
+++ b/libs/entry/src/clementinebend_entry/pieces.py
@@ -30,4 +30,4 @@
 
 
 Piece = Begun | Part | Whole | ErrorOutcome
-"""A ``Trouble`` ends the answer, also one that has begun."""
+"""An ``ErrorOutcome`` ends the answer, also one that has begun."""
