--- a/libs/entry/src/clementinebend_entry/answer_output.py
+++ b/libs/entry/src/clementinebend_entry/answer_output.py
@@ -1,94 +1,97 @@
-"""Puts an answer together and passes on what the caller may have already."""
+"""Assembles an answer and queues the parts that may be sent to the caller."""
 
 from asyncio import Queue
 from collections.abc import Callable
 
 from clementinebend_entry.answer_state import (
     FIRST_ERROR_STATUS,
-    Broken,
+    BrokenAnswer,
+    apply_chunk,
+    apply_end,
+    apply_head,
     empty_answer,
     has_begun,
-    last_part,
-    take_chunk,
-    take_end,
-    take_head,
-    tell_again,
+    rewind,
+    unreleased_bytes,
 )
-from clementinebend_entry.outcomes import Trouble
+from clementinebend_entry.outcomes import ErrorOutcome
 from clementinebend_entry.pieces import Begun, Part, Piece, Whole
 from clementinebend_records.messages import RunChunk, RunEnd, RunHead
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     """Do nothing."""
 
 
 class AnswerOutput:
-    """One answer on its way; ``broken`` says why it cannot be completed."""
+    """The answer to one call; ``broken`` says why it cannot be completed.
+
+    ``pieces`` is the queue from which the caller is answered.
+    """
 
     def __init__(self, stream: bool) -> None:
         self.answer = empty_answer(stream)
         self.pieces: Queue[Piece] = Queue()
         self.broken = ""
-        self.is_announced = False
+        self.is_head_sent = False
         self.is_finished = False
-        self.on_finish: Callable[[], None] = _nothing
+        self.on_finish: Callable[[], None] = _do_nothing
 
     @property
     def has_begun(self) -> bool:
-        """Whether the caller may have got a part of the answer."""
-        return self.is_announced or has_begun(self.answer)
+        """Whether a part of the answer may have been sent to the caller."""
+        return self.is_head_sent or has_begun(self.answer)
 
-    def tell_again(self) -> None:
-        """Expect the answer from its start."""
-        self.answer = tell_again(self.answer)
+    def rewind(self) -> None:
+        """Expect a new transmission of the answer from its start."""
+        self.answer = rewind(self.answer)
 
     def head(self, head: RunHead) -> None:
-        """Take status and content type."""
-        self.answer, broken = take_head(self.answer, head)
-        self.note(broken)
+        """Apply the status and content type."""
+        self.answer, broken = apply_head(self.answer, head)
+        self.record_broken(broken)
 
     def chunk(self, chunk: RunChunk) -> None:
-        """Take the next piece, unless the answer is broken."""
+        """Apply the next chunk, unless the answer is broken."""
         if self.broken:
             return
-        self.answer, result = take_chunk(self.answer, chunk)
-        if isinstance(result, Broken):
-            self.note(result)
+        self.answer, result = apply_chunk(self.answer, chunk)
+        if isinstance(result, BrokenAnswer):
+            self.record_broken(result)
         elif result.data:
-            self.announce()
+            self.send_head()
             self.put(Part(result.data))
 
     def end(self, end: RunEnd) -> None:
-        """Check that the answer is whole."""
+        """Check that the answer is complete, unless it is broken."""
         if not self.broken:
-            self.answer, broken = take_end(self.answer, end)
-            self.note(broken)
+            self.answer, broken = apply_end(self.answer, end)
+            self.record_broken(broken)
 
     def release(self) -> None:
-        """Let the caller have what was held back: the end of the answer."""
+        """Finish with the bytes that were held back: the end of the answer."""
         answer = self.answer
-        self.finish(Whole(answer.status, answer.content_type, last_part(answer)))
+        self.finish(Whole(answer.status, answer.content_type, unreleased_bytes(answer)))
 
-    def finish(self, piece: Whole | Trouble) -> None:
-        """Tell the caller the outcome; what comes after the first is dropped."""
+    def finish(self, piece: Whole | ErrorOutcome) -> None:
+        """Queue the final outcome; later pieces are dropped."""
         self.put(piece)
         self.is_finished = True
         self.on_finish()
 
     def put(self, piece: Piece) -> None:
-        """Hand a piece to the one who answers the caller."""
+        """Queue a piece for the caller, unless the output is finished."""
         if not self.is_finished:
             self.pieces.put_nowait(piece)
 
-    def announce(self) -> None:
-        """Let the caller have the head of a streamed answer, once."""
+    def send_head(self) -> None:
+        """Queue the head of a streamed answer, once and unless it is an error."""
         answer = self.answer
-        if not self.is_announced and answer.status < FIRST_ERROR_STATUS:
-            self.is_announced = True
+        if not self.is_head_sent and answer.status < FIRST_ERROR_STATUS:
+            self.is_head_sent = True
             self.put(Begun(answer.status, answer.content_type))
 
-    def note(self, broken: Broken | None) -> None:
-        """Remember why the answer cannot be completed."""
+    def record_broken(self, broken: BrokenAnswer | None) -> None:
+        """Record the first reason why the answer cannot be completed."""
         if broken is not None and not self.broken:
             self.broken = broken.message
--- a/libs/entry/src/clementinebend_entry/answer_state.py
+++ b/libs/entry/src/clementinebend_entry/answer_state.py
@@ -1,15 +1,15 @@
-"""One answer as it is put together from a run's messages; pure.
+"""Pure functions that assemble one answer from the messages of a run.
 
-The pieces are checked by sequence. When the answer is told again from its
-start, by an attachment or by another run, bytes that were received are
-compared and not sent twice; an answer that differs from what the caller has
-already got is broken, never spliced.
+Chunks are checked by sequence number. If the answer is transmitted again from
+its start, by an attachment or by another run, bytes received before are
+compared and not sent twice. An answer that differs from what was already sent
+to the caller is broken; parts of two answers are never spliced.
 """
 
 from itertools import takewhile
 from typing import NamedTuple
 
-from clementinebend_entry.held_stream import has_end_marker, release_limit
+from clementinebend_entry.sse_end_event import has_end_marker, release_limit
 from clementinebend_records.messages import RunChunk, RunEnd, RunHead
 
 EVENT_STREAM = "text/event-stream"
@@ -17,11 +17,12 @@
 
 
 class AnswerState(NamedTuple):
-    """What was received, and of that what the caller has got.
+    """The bytes received so far and how many were released to the caller.
 
-    ``position`` and ``sequence`` are where the present telling has come to;
-    ``released`` counts bytes of ``body`` that went to the caller. With
-    ``stream`` bytes go on as they come, else only when all is there.
+    ``position`` and ``sequence`` are the byte offset and the next chunk number
+    of the current transmission; ``released`` counts the bytes of ``body`` sent
+    to the caller. With ``stream``, bytes are released as they arrive;
+    otherwise only once the answer is complete.
     """
 
     stream: bool
@@ -34,51 +35,53 @@
 
 
 class Release(NamedTuple):
-    """Bytes that may go to the caller now; often none."""
+    """Bytes to send to the caller now; often empty."""
 
     data: bytes
 
 
-class Broken(NamedTuple):
-    """The answer cannot be completed from this telling."""
+class BrokenAnswer(NamedTuple):
+    """The answer cannot be completed from the current transmission."""
 
     message: str
 
 
 def empty_answer(stream: bool) -> AnswerState:
-    """Return an answer of which nothing has come."""
+    """Return the state before anything was received."""
     return AnswerState(stream, bytearray())
 
 
-def tell_again(answer: AnswerState) -> AnswerState:
-    """Return the answer before a new telling from its start."""
+def rewind(answer: AnswerState) -> AnswerState:
+    """Return the state for a new transmission of the answer from its start."""
     return answer._replace(position=0, sequence=0)
 
 
 def has_begun(answer: AnswerState) -> bool:
-    """Return whether the caller has got a part of the answer."""
+    """Return whether any bytes were released to the caller."""
     return answer.released > 0
 
 
-def take_head(answer: AnswerState, head: RunHead) -> tuple[AnswerState, Broken | None]:
-    """Take status and content type."""
+def apply_head(
+    answer: AnswerState, head: RunHead
+) -> tuple[AnswerState, BrokenAnswer | None]:
+    """Apply the status and content type; fail if they contradict what was sent."""
     same = (answer.status, answer.content_type) == (head.status, head.content_type)
     if has_begun(answer) and not same:
-        return answer, Broken("the answer begins differently from what was sent")
+        return answer, BrokenAnswer("the answer begins differently from what was sent")
     return answer._replace(status=head.status, content_type=head.content_type), None
 
 
-def take_chunk(
+def apply_chunk(
     answer: AnswerState, chunk: RunChunk
-) -> tuple[AnswerState, Release | Broken]:
-    """Take the next piece."""
+) -> tuple[AnswerState, Release | BrokenAnswer]:
+    """Apply the next chunk and return the bytes that it releases."""
     if chunk.sequence != answer.sequence:
         problem = f"piece {chunk.sequence} came instead of {answer.sequence}"
-        return answer, Broken(problem)
-    matched = _matching(answer, chunk.data)
+        return answer, BrokenAnswer(problem)
+    matched = _matching_length(answer, chunk.data)
     position = answer.position + matched
     if position < answer.released and matched < len(chunk.data):
-        return answer, Broken("the answer differs from what was sent")
+        return answer, BrokenAnswer("the answer differs from what was sent")
     if matched < len(chunk.data):
         del answer.body[position:]
         answer.body.extend(chunk.data[matched:])
@@ -88,20 +91,22 @@
     return _release(answer)
 
 
-def take_end(answer: AnswerState, end: RunEnd) -> tuple[AnswerState, Broken | None]:
-    """Check that the answer is whole."""
+def apply_end(
+    answer: AnswerState, end: RunEnd
+) -> tuple[AnswerState, BrokenAnswer | None]:
+    """Check that the answer is complete."""
     if end.chunks != answer.sequence:
-        return answer, Broken(f"{answer.sequence} pieces came of {end.chunks}")
+        return answer, BrokenAnswer(f"{answer.sequence} pieces came of {end.chunks}")
     if answer.position < answer.released:
-        return answer, Broken("the answer is shorter than what was sent")
+        return answer, BrokenAnswer("the answer is shorter than what was sent")
     del answer.body[answer.position :]
     if _is_event_stream(answer) and not has_end_marker(answer.body):
-        return answer, Broken("the answer has no end marker")
+        return answer, BrokenAnswer("the answer has no end marker")
     return answer, None
 
 
-def last_part(answer: AnswerState) -> bytes:
-    """Return what was held back."""
+def unreleased_bytes(answer: AnswerState) -> bytes:
+    """Return the received bytes that were held back so far."""
     return bytes(answer.body[answer.released :])
 
 
@@ -113,16 +118,16 @@
 def _release(answer: AnswerState) -> tuple[AnswerState, Release]:
     if not (answer.stream and _is_event_stream(answer)):
         return answer, Release(b"")
-    told = answer.body if answer.position == len(answer.body) else None
-    if told is None:
+    current_body = answer.body if answer.position == len(answer.body) else None
+    if current_body is None:
         return answer, Release(b"")
-    limit = release_limit(told, answer.released)
-    data = bytes(told[answer.released : limit])
+    limit = release_limit(current_body, answer.released)
+    data = bytes(current_body[answer.released : limit])
     return answer._replace(released=limit), Release(data)
 
 
-def _matching(answer: AnswerState, data: bytes) -> int:
-    """Return how many leading bytes of ``data`` are in the body already."""
+def _matching_length(answer: AnswerState, data: bytes) -> int:
+    """Return how many leading bytes of ``data`` match the body at ``position``."""
     if answer.position == len(answer.body):
         return 0
     known = answer.body[answer.position : answer.position + len(data)]
--- a/libs/entry/src/clementinebend_entry/attachment.py
+++ b/libs/entry/src/clementinebend_entry/attachment.py
@@ -1,4 +1,4 @@
-"""Attaches a retry to the run that its key has already."""
+"""Attaches a retried call to the existing run of its idempotency key."""
 
 from asyncio import sleep, timeout
 from time import monotonic
@@ -16,16 +16,16 @@
 from clementinebend_records.messages import RunAttach
 from clementinebend_records.reasons import NotRunReason
 
-LINK_PATIENCE_S = 1.0
-"""How long the sidecar of an earlier run is waited for."""
+LINK_TIMEOUT_S = 1.0
+"""How long to wait for the link to the sidecar of the earlier run."""
 
-TRIES = 5
-TRY_INTERVAL_S = 0.03
-"""A pointer is placed before its run starts, so the run may be on its way."""
+MAX_ATTEMPTS = 5
+RETRY_INTERVAL_S = 0.03
+"""Attaching is retried because a pointer is published before its run starts."""
 
 
 class Attached(NamedTuple):
-    """The run was found, and this is how it ended."""
+    """The result of a run that was found, and its follower."""
 
     follower: Follower
     result: RunResult
@@ -34,41 +34,41 @@
 async def attach(
     services: Services, call: Call, standing: Standing, output: AnswerOutput
 ) -> Attached | None:
-    """Relay the whole answer of an earlier run; None if it cannot be found."""
+    """Relay the complete answer of an earlier run; None if it is not found."""
     link = services.pool.link_to(standing.endpoint)
-    if link is None or not await is_up(link, call.deadline):
+    if link is None or not await wait_until_up(link, call.deadline):
         return None
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         attached = await attach_once(link, call, output)
-        if attached is None or not is_unknown(attached.result):
+        if attached is None or not is_key_unknown(attached.result):
             return attached
-        await sleep(TRY_INTERVAL_S)
+        await sleep(RETRY_INTERVAL_S)
     return None
 
 
 async def attach_once(
     link: SidecarLink, call: Call, output: AnswerOutput
 ) -> Attached | None:
-    """Ask once for the answer of the key's run."""
+    """Attach once to the run of the call's key; None if the link has no peer."""
     if link.peer is None:
         return None
     ATTACHMENTS.labels("retry").inc()
     opening = RunAttach(new_run_id(), call.key, call.body_digest)
-    output.tell_again()
+    output.rewind()
     follower = Follower(link, link.peer.incarnation, opening, call.deadline, output)
-    return Attached(follower, await follower.follow(LINK_PATIENCE_S))
+    return Attached(follower, await follower.follow(LINK_TIMEOUT_S))
 
 
-def is_unknown(result: RunResult) -> bool:
-    """Return whether the sidecar knows no run of the key."""
+def is_key_unknown(result: RunResult) -> bool:
+    """Return whether the sidecar reported that the key is unknown."""
     return isinstance(result, RunNotRun) and result.reason is NotRunReason.UNKNOWN_KEY
 
 
-async def is_up(link: SidecarLink, deadline: float) -> bool:
-    """Wait a short time for a link."""
+async def wait_until_up(link: SidecarLink, deadline: float) -> bool:
+    """Wait briefly for a link; return whether it is up."""
     left = max(0.0, deadline - monotonic())
     try:
-        async with timeout(min(LINK_PATIENCE_S, left)):
+        async with timeout(min(LINK_TIMEOUT_S, left)):
             await link.up.wait()
     except TimeoutError:
         return False
--- a/libs/entry/src/clementinebend_entry/call_state.py
+++ b/libs/entry/src/clementinebend_entry/call_state.py
@@ -1,6 +1,6 @@
-"""What has become of one call so far, and what may still be done with it.
+"""Mutable state of one call across its attempts.
 
-Owned by the call's ``Execution``, whose task alone changes it.
+Owned by the call's ``Execution``; only its task modifies the state.
 """
 
 from time import monotonic
@@ -10,7 +10,7 @@
 from clementinebend_entry.claimed_calls import ClaimedCall
 from clementinebend_entry.following import Follower
 from clementinebend_entry.metrics import RETRIES
-from clementinebend_entry.outcomes import Refusal, Trouble
+from clementinebend_entry.outcomes import ErrorOutcome, Refusal
 from clementinebend_entry.pieces import Whole
 from clementinebend_entry.run_account import RunAccount
 from clementinebend_entry.run_results import RunBroke, RunResult, RunWhole
@@ -19,7 +19,7 @@
 
 
 class CallState:
-    """One call; ``output`` holds what its caller is to get."""
+    """The state of one call; ``output`` collects the answer for its caller."""
 
     def __init__(self, services: Services, call: Call) -> None:
         self.services = services
@@ -32,25 +32,28 @@
         self.exclude: frozenset[str] = frozenset()
         self.refusal: Refusal | None = None
         self.claim = ClaimedCall(services.claims, call)
-        self.earlier: Trouble | None = None
-        self.has_looked = False
+        self.joined_outcome: ErrorOutcome | None = None
+        self.has_checked_pointer = False
         self.dispatched = False
         self.abandoned = False
         self.ended = False
 
     def lose(self, result: RunResult) -> None:
-        """Go on under another run id; the key may still bear this run's cost."""
+        """Continue under a new run id; this run's cost may still be charged."""
         if self.follower is not None:
             self.account.lose(result, self.follower)
         self.run_id = new_run_id()
 
     def settle(self, result: RunWhole | RunBroke) -> None:
-        """Bill the key with a run's receipt."""
+        """Bill the call's key with a run's receipt."""
         if self.follower is not None:
             self.account.settle(result, self.follower)
 
-    def may_try_again(self, cause: str, is_free: bool = False) -> bool:
-        """Return whether another attempt is allowed; it is then counted."""
+    def consume_retry(self, cause: str, is_free: bool = False) -> bool:
+        """Return whether another attempt is allowed, and count it if so.
+
+        A free attempt is not charged to the team's retry budget.
+        """
         if self.follower is not None:
             self.exclude = self.exclude | {self.follower.link.name}
         if self.abandoned or monotonic() >= self.call.deadline:
@@ -61,28 +64,28 @@
         return True
 
     def note_leaving(self) -> None:
-        """Send no new work to an endpoint that refuses since it is leaving."""
+        """Stop sending new work to an endpoint that refused because it is leaving."""
         if self.follower is not None:
             self.services.router.note_leaving(self.follower.link.name, True)
 
-    def zone_of_sidecar(self) -> str:
+    def sidecar_zone(self) -> str:
         """Return the availability zone of the sidecar that executed the run."""
         peer = self.follower.link.peer if self.follower is not None else None
         return self.services.router.zone if peer is None else peer.zone
 
-    def end(self, outcome: Trouble | Whole) -> None:
-        """End without a whole answer of a run of this call."""
+    def end(self, outcome: ErrorOutcome | Whole) -> None:
+        """End the call without a complete answer from one of its own runs."""
         self.account.resolve()
         self.ended = True
         self.tell(outcome)
 
-    def tell(self, outcome: Trouble | Whole) -> None:
-        """Hand the outcome to the one who answers the caller."""
+    def tell(self, outcome: ErrorOutcome | Whole) -> None:
+        """Pass the outcome to the output, from which the caller is answered."""
         if isinstance(outcome, Refusal):
             outcome = self.claim.honest(outcome)
         self.output.finish(outcome)
 
     def drop_pointer(self) -> None:
-        """Remove the pointer to a run that gives no answer."""
-        if self.call.has_key:
+        """Remove the pointer to a run that will produce no answer."""
+        if self.call.has_idempotency_key:
             self.services.pointers.drop(self.call.key, self.run_id)
--- a/libs/entry/src/clementinebend_entry/calls.py
+++ b/libs/entry/src/clementinebend_entry/calls.py
@@ -1,4 +1,4 @@
-"""A request that may be run: who pays, what for, and by when."""
+"""Parses HTTP requests into calls: team, service, budget, cost and deadline."""
 
 from secrets import token_hex
 from typing import NamedTuple
@@ -30,24 +30,24 @@
 from clementinebend_records.reasons import NotRunReason
 from clementinebend_transport.http_server import Request
 
-INVALID = 400
+BAD_REQUEST = 400
 UNAUTHORIZED = 401
 NOT_FOUND = 404
 MILLISECONDS = 1000
-MADE_UP_KEY_BYTES = 16
+GENERATED_KEY_BYTES = 16
 NO_BUDGET_RETRY_MS = 60_000
 
 
 class Call(NamedTuple):
-    """A checked request; ``deadline`` is in monotonic seconds.
+    """A validated request; ``deadline`` is in monotonic seconds.
 
-    ``amount`` is the upper bound of its cost in tokens. ``has_key`` says that
-    the caller gave the idempotency key, so that it may come back for the
-    answer.
+    ``amount`` is the upper bound of its cost in tokens.
+    ``has_idempotency_key`` is true if the caller sent the key, and so may
+    retry the request to fetch the answer; otherwise the key is generated.
     """
 
     key: RequestKey
-    has_key: bool
+    has_idempotency_key: bool
     body_digest: str
     team: str
     weight: float
@@ -71,16 +71,16 @@
 def parse_call(
     request: Request, directory: Directory, now: float
 ) -> Result[Call, BadRequest | Refusal]:
-    """Return the call that a request makes, or why it cannot be made."""
+    """Return the call that a request describes, or why it is rejected."""
     headers = parse_headers(request.headers, directory.declarations.limits)
     match headers:
         case Result(tag="ok", ok=parsed):
-            return _for_team(request, directory, parsed, now)
+            return _parse_for_team(request, directory, parsed, now)
         case Result(error=wrong):
             return Error(wrong)
 
 
-def _for_team(
+def _parse_for_team(
     request: Request, directory: Directory, headers: CallHeaders, now: float
 ) -> Result[Call, BadRequest | Refusal]:
     team = find_team(directory, headers.bearer)
@@ -89,11 +89,11 @@
         return Error(BadRequest(UNAUTHORIZED, "authorization", message))
     path = request.target.partition("?")[0]
     if path in MODEL_PATHS:
-        return _model_call(request, directory, headers, team, now)
-    return _plain_call(request, directory, headers, team, now)
+        return _parse_model_call(request, directory, headers, team, now)
+    return _parse_plain_call(request, directory, headers, team, now)
 
 
-def _model_call(
+def _parse_model_call(
     request: Request,
     directory: Directory,
     headers: CallHeaders,
@@ -114,11 +114,11 @@
     ceiling = found.service.max_output_tokens
     if body.limit > ceiling:
         message = f"must be at most {ceiling}, the limit of this service"
-        return Error(BadRequest(INVALID, "max_tokens", message))
-    return _call(request, directory, headers, team, found, body, now)
+        return Error(BadRequest(BAD_REQUEST, "max_tokens", message))
+    return _build_call(request, directory, headers, team, found, body, now)
 
 
-def _plain_call(
+def _parse_plain_call(
     request: Request,
     directory: Directory,
     headers: CallHeaders,
@@ -128,10 +128,10 @@
     found = find_plain_service(directory, request.target)
     if found is None:
         return Error(BadRequest(NOT_FOUND, "path", "no service has this path"))
-    return _call(request, directory, headers, team, found, None, now)
+    return _build_call(request, directory, headers, team, found, None, now)
 
 
-def _call(
+def _build_call(
     request: Request,
     directory: Directory,
     headers: CallHeaders,
@@ -143,17 +143,17 @@
     budget = find_budget(directory, team.name, found.name, headers.budget)
     if not budget and headers.budget:
         message = "names no budget of this team for this service"
-        return Error(BadRequest(INVALID, "x-budget", message))
+        return Error(BadRequest(BAD_REQUEST, "x-budget", message))
     if not budget:
         message = f"no budget of this team covers the service {found.name!r}"
         refusal = Refusal(NotRunReason.BUDGET_EXHAUSTED, NO_BUDGET_RETRY_MS, message)
         return Error(refusal)
-    key = headers.idempotency_key or token_hex(MADE_UP_KEY_BYTES)
+    key = headers.idempotency_key or token_hex(GENERATED_KEY_BYTES)
     limit = token_limit(found.service, body)
     return Ok(
         Call(
             key=request_key(team.name, key),
-            has_key=bool(headers.idempotency_key),
+            has_idempotency_key=bool(headers.idempotency_key),
             body_digest=request_digest(request),
             team=team.name,
             weight=team.team.weight,
@@ -162,7 +162,7 @@
             kind=found.service.kind,
             model=body.model if body else "",
             budget=budget,
-            amount=upper_bound(found.service, request.body, limit),
+            amount=max_cost(found.service, request.body, limit),
             token_limit=limit,
             method=request.method,
             path=request.target,
@@ -177,17 +177,17 @@
 
 
 def token_limit(service: Service, body: ModelBody | None) -> int:
-    """Return the output limit that the engine is to enforce; 0 for no model."""
+    """Return the output limit for the engine to enforce; 0 if no model is used."""
     if body is None:
         return 0
     return body.limit or service.max_output_tokens
 
 
-def upper_bound(service: Service, body: bytes, limit: int) -> int:
-    """Return the most that a request can cost, in tokens.
+def max_cost(service: Service, body: bytes, limit: int) -> int:
+    """Return the upper bound of the cost of a request, in tokens.
 
-    A prompt has no more tokens than bytes, and JSON text is never shorter
-    than the prompt inside it.
+    A prompt has at most as many tokens as bytes, and the JSON body is at least
+    as long as the prompt it contains.
     """
     if service.kind is ServiceKind.PLAIN:
         return service.cost
@@ -195,11 +195,11 @@
 
 
 def is_idempotent(service: Service, method: str) -> bool:
-    """Return whether a call may be repeated; generation always may."""
+    """Return whether a call may be repeated; model calls always may."""
     return service.kind is ServiceKind.MODEL or method in service.idempotent_methods
 
 
 def request_digest(request: Request) -> str:
-    """Return the digest by which a retry proves to be the same request."""
+    """Return the digest that identifies a retry as the same request."""
     start = f"{request.method} {request.target}\n".encode()
     return digest_of(start + request.body)
--- a/libs/entry/src/clementinebend_entry/claimed_calls.py
+++ b/libs/entry/src/clementinebend_entry/claimed_calls.py
@@ -3,7 +3,7 @@
 from json import dumps
 from time import monotonic
 
-from clementinebend_entry.answers import JSON, error_of
+from clementinebend_entry.answers import JSON, error_body
 from clementinebend_entry.calls import Call
 from clementinebend_entry.claims import ClaimsDesk
 from clementinebend_entry.metrics import ATTACHMENTS
@@ -84,7 +84,7 @@
         was read so far has to do. A claim found there may be about to be freed.
         """
         call = self.call
-        if call.idempotent or not call.has_key:
+        if call.idempotent or not call.has_idempotency_key:
             return
         if self.run is None and self.desk.can_claim(call.key):
             await self.desk.read_up_to_now(call.key, CONFIRM_PATIENCE_S)
@@ -117,7 +117,7 @@
 
     def record_failure(self, message: str) -> None:
         """Record that the call ran and failed."""
-        body = dumps({"error": error_of(Failed(message))}).encode()
+        body = dumps({"error": error_body(Failed(message))}).encode()
         self.record(BAD_GATEWAY, JSON, body)
 
     def void(self) -> None:
--- a/libs/entry/src/clementinebend_entry/handler.py
+++ b/libs/entry/src/clementinebend_entry/handler.py
@@ -1,4 +1,4 @@
-"""The callers' side: health, readiness, metrics, and calls."""
+"""HTTP request handler for callers: health, readiness, metrics and calls."""
 
 from asyncio import create_task
 from collections.abc import Callable
@@ -8,13 +8,13 @@
 from expression import Result
 from prometheus_client import REGISTRY, generate_latest
 
-from clementinebend_entry.answers import answer_of, json_response
+from clementinebend_entry.answers import error_response, json_response
 from clementinebend_entry.calls import Call, parse_call
 from clementinebend_entry.execution import Execution
 from clementinebend_entry.lookup import Directory
 from clementinebend_entry.metrics import IN_PROGRESS
 from clementinebend_entry.outcomes import BadRequest, Refusal
-from clementinebend_entry.responder import count_trouble, respond
+from clementinebend_entry.responder import count_error, respond
 from clementinebend_entry.services import Services
 from clementinebend_records.reasons import NotRunReason
 from clementinebend_transport.http_server import Request, Response
@@ -24,28 +24,28 @@
 UNAVAILABLE = 503
 TOO_LARGE = 413
 NOT_READY_RETRY_MS = 1_000
-OWN_PATHS = ("/healthz", "/readyz", "/metrics")
+OPERATIONAL_PATHS = ("/healthz", "/readyz", "/metrics")
 
 
 def metrics_page() -> Response:
-    """Return this library's metrics, and those of libraries and the runtime."""
+    """Return this project's metrics and those of ``prometheus_client``."""
     page = render_metrics()
     assert isinstance(page.body, bytes)
     return page._replace(body=page.body + generate_latest(REGISTRY))
 
 
 class Readiness(Protocol):
-    """Who knows what this entry still lacks."""
+    """Reports what this entry lacks before it can serve."""
 
     def for_calls(self) -> tuple[str, ...]:
-        """Return what a call would lack."""
+        """Return what is missing to execute a call; empty if ready."""
 
     def for_balancer(self) -> tuple[str, ...]:
-        """Return why the balancer should send no callers here."""
+        """Return why the load balancer should send no traffic here."""
 
 
 class Handler:
-    """Answers requests by the declarations in force."""
+    """Handles HTTP requests under the current declarations."""
 
     def __init__(
         self,
@@ -58,10 +58,10 @@
         self.readiness = readiness
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request."""
+        """Handle one request and return its response."""
         path = request.target.partition("?")[0]
-        if path in OWN_PATHS:
-            return self.own_page(path)
+        if path in OPERATIONAL_PATHS:
+            return self.operational_page(path)
         if self.readiness.for_calls():
             return self.refuse(Refusal(NotRunReason.NOT_READY, NOT_READY_RETRY_MS))
         directory = self.directory()
@@ -70,24 +70,24 @@
         match parse_call(request, directory, monotonic()):
             case Result(tag="ok", ok=call):
                 return await self.execute(call)
-            case Result(error=trouble):
-                return self.refuse(trouble)
+            case Result(error=error_outcome):
+                return self.refuse(error_outcome)
 
     async def execute(self, call: Call) -> Response:
-        """Run a call and answer its caller."""
+        """Execute a call and return the response for its caller."""
         execution = Execution(self.services, call)
         execution.task = create_task(execution.run(), name=f"call {call.key}")
         self.services.watch(execution.task)
         IN_PROGRESS.inc()
         return await respond(execution, IN_PROGRESS.dec)
 
-    def refuse(self, trouble: BadRequest | Refusal) -> Response:
-        """Answer a request that is not run."""
-        count_trouble(trouble)
-        return answer_of(trouble)
+    def refuse(self, error_outcome: BadRequest | Refusal) -> Response:
+        """Return the error response for a request that is not executed."""
+        count_error(error_outcome)
+        return error_response(error_outcome)
 
-    def own_page(self, path: str) -> Response:
-        """Return a page about this process."""
+    def operational_page(self, path: str) -> Response:
+        """Return the health, readiness or metrics page of this process."""
         if path == "/metrics":
             return metrics_page()
         missing = self.readiness.for_balancer() if path == "/readyz" else ()
--- a/libs/entry/src/clementinebend_entry/headers.py
+++ b/libs/entry/src/clementinebend_entry/headers.py
@@ -1,4 +1,4 @@
-"""Headers that callers send: key, deadline, priority and budget."""
+"""Parses the request headers: API key, idempotency key, deadline and others."""
 
 from typing import NamedTuple
 
@@ -9,18 +9,18 @@
 
 BEARER = "bearer "
 DEFAULT_PRIORITY = 5
-HIGHEST_PRIORITY = 9
-LONGEST_KEY = 255
+MAX_PRIORITY = 9
+MAX_KEY_LENGTH = 255
 UNAUTHORIZED = 401
-INVALID = 400
-DIGITS_MAX = 12
+BAD_REQUEST = 400
+MAX_DIGITS = 12
 
 
 class CallHeaders(NamedTuple):
-    """What the headers of a request say.
+    """The parsed headers of a request.
 
-    ``deadline_ms`` counts from arrival; a larger one than the fleet allows
-    is lowered to that. ``idempotency_key`` and ``budget`` are empty if absent.
+    ``deadline_ms`` counts from arrival and is capped at the declared maximum.
+    ``idempotency_key`` and ``budget`` are empty if absent.
     """
 
     bearer: str
@@ -33,7 +33,7 @@
 def parse_headers(
     headers: dict[str, str], limits: Limits
 ) -> Result[CallHeaders, BadRequest]:
-    """Return what the headers say, or which one is wrong."""
+    """Return the parsed headers, or the first invalid one."""
     bearer = _bearer(headers.get("authorization", ""))
     if not bearer:
         message = "send the team's key as 'Authorization: Bearer KEY'"
@@ -41,15 +41,15 @@
     deadline = _whole_number(headers, "x-deadline-ms", limits.default_deadline_ms)
     if deadline is None or deadline < 1:
         message = "must be a whole number of milliseconds above 0"
-        return Error(BadRequest(INVALID, "x-deadline-ms", message))
+        return Error(BadRequest(BAD_REQUEST, "x-deadline-ms", message))
     priority = _whole_number(headers, "x-priority", DEFAULT_PRIORITY)
-    if priority is None or priority > HIGHEST_PRIORITY:
-        message = f"must be a whole number from 0 to {HIGHEST_PRIORITY}"
-        return Error(BadRequest(INVALID, "x-priority", message))
+    if priority is None or priority > MAX_PRIORITY:
+        message = f"must be a whole number from 0 to {MAX_PRIORITY}"
+        return Error(BadRequest(BAD_REQUEST, "x-priority", message))
     key = headers.get("idempotency-key", "")
-    if len(key) > LONGEST_KEY:
-        message = f"must have at most {LONGEST_KEY} characters"
-        return Error(BadRequest(INVALID, "idempotency-key", message))
+    if len(key) > MAX_KEY_LENGTH:
+        message = f"must have at most {MAX_KEY_LENGTH} characters"
+        return Error(BadRequest(BAD_REQUEST, "idempotency-key", message))
     return Ok(
         CallHeaders(
             bearer,
@@ -71,6 +71,6 @@
     if name not in headers:
         return default
     text = headers[name].strip()
-    if not (text.isascii() and text.isdigit() and len(text) <= DIGITS_MAX):
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS):
         return None
     return int(text)
--- a/libs/entry/src/clementinebend_entry/joining.py
+++ b/libs/entry/src/clementinebend_entry/joining.py
@@ -7,7 +7,7 @@
 from clementinebend_entry.attachment import Attached, attach
 from clementinebend_entry.call_state import CallState
 from clementinebend_entry.conclusions import FINAL_REFUSALS, conclude
-from clementinebend_entry.outcomes import Failed, Refusal, Trouble, Unknown
+from clementinebend_entry.outcomes import ErrorOutcome, Failed, Refusal, Unknown
 from clementinebend_entry.pointer_desk import Standing
 from clementinebend_entry.run_results import (
     RunBroke,
@@ -49,10 +49,12 @@
     of a key that runs elsewhere. Claims say so of other calls.
     """
     call = state.call
-    may_run_elsewhere = call.has_key and call.idempotent and not state.account.lost
-    if not may_run_elsewhere or state.has_looked:
+    may_run_elsewhere = (
+        call.has_idempotency_key and call.idempotent and not state.account.lost
+    )
+    if not may_run_elsewhere or state.has_checked_pointer:
         return None
-    state.has_looked = True
+    state.has_checked_pointer = True
     standing = await state.services.pointers.put(call, state.run_id, NOWHERE)
     if standing is None:
         state.drop_pointer()
@@ -74,13 +76,13 @@
     if is_final or not state.call.idempotent:
         return await conclude(result, state)
     state.services.pointers.drop(state.call.key, standing.run)
-    if state.may_try_again("joined", is_free=True):
-        state.earlier = _trouble_of(result)
+    if state.consume_retry("joined", is_free=True):
+        state.joined_outcome = _trouble_of(result)
         return None
     return await conclude(result, state)
 
 
-def _trouble_of(result: RunResult) -> Trouble | None:
+def _trouble_of(result: RunResult) -> ErrorOutcome | None:
     """Return what is to be told if the key's next run is refused."""
     match result:
         case RunNotRun():
--- a/libs/entry/src/clementinebend_entry/model_body.py
+++ b/libs/entry/src/clementinebend_entry/model_body.py
@@ -1,8 +1,8 @@
-"""The JSON body of a request to a model: checked before anything is paid.
+"""Validates the JSON body of a model request before tokens are reserved.
 
-Only what decides routing and cost is read; the rest is the engine's. A field
-that would multiply the output (``n``, ``best_of``, several prompts) is
-refused, since the reservation is for one output.
+Only the fields that determine routing and cost are read; the engine handles
+the rest. A field that multiplies the output (``n``, ``best_of``, several
+prompts) is rejected because the reservation covers one output.
 """
 
 from json import JSONDecodeError, loads
@@ -12,17 +12,17 @@
 
 from clementinebend_entry.outcomes import BadRequest
 
-INVALID = 400
+BAD_REQUEST = 400
 CHAT_PATH = "/v1/chat/completions"
 TEXT_PATH = "/v1/completions"
 MODEL_PATHS = (CHAT_PATH, TEXT_PATH)
 LIMIT_FIELDS = ("max_tokens", "max_completion_tokens")
 SINGLE_FIELDS = ("n", "best_of")
-LARGEST_LIMIT = 1_000_000
+MAX_OUTPUT_LIMIT = 1_000_000
 
 
 class ModelBody(NamedTuple):
-    """What an entry reads from the body; ``limit`` 0 means that none is set."""
+    """The fields that an entry reads; ``limit`` is 0 if no limit is set."""
 
     model: str
     limit: int
@@ -30,7 +30,7 @@
 
 
 def parse_model_body(path: str, body: bytes) -> Result[ModelBody, BadRequest]:
-    """Return what routing and cost need, or which field is wrong."""
+    """Return the fields for routing and cost, or which field is invalid."""
     try:
         value = loads(body.decode("utf-8"))
     except UnicodeDecodeError:
@@ -60,19 +60,19 @@
     if path == TEXT_PATH:
         if isinstance(value.get("prompt"), str):
             return None
-        return BadRequest(INVALID, "prompt", "must be one string")
+        return BadRequest(BAD_REQUEST, "prompt", "must be one string")
     messages = value.get("messages")
     if not isinstance(messages, list) or not messages:
-        return BadRequest(INVALID, "messages", "must be a list that is not empty")
+        return BadRequest(BAD_REQUEST, "messages", "must be a list that is not empty")
     if not all(isinstance(message, dict) for message in messages):
-        return BadRequest(INVALID, "messages", "must hold objects only")
+        return BadRequest(BAD_REQUEST, "messages", "must hold objects only")
     return None
 
 
 def _single_error(value: dict[str, Any]) -> BadRequest | None:
     many = (field for field in SINGLE_FIELDS if value.get(field, 1) not in (1, None))
     field = next(many, None)
-    return field and BadRequest(INVALID, field, "must be 1 or absent") or None
+    return field and BadRequest(BAD_REQUEST, field, "must be 1 or absent") or None
 
 
 def _limit_error(value: dict[str, Any]) -> BadRequest | None:
@@ -84,14 +84,14 @@
     field = next(wrong, None)
     if field is None:
         return None
-    message = f"must be a whole number from 1 to {LARGEST_LIMIT}"
-    return BadRequest(INVALID, field, message)
+    message = f"must be a whole number from 1 to {MAX_OUTPUT_LIMIT}"
+    return BadRequest(BAD_REQUEST, field, message)
 
 
 def _is_limit(value: Any) -> bool:
     is_whole = isinstance(value, int) and not isinstance(value, bool)
-    return is_whole and 1 <= value <= LARGEST_LIMIT
+    return is_whole and 1 <= value <= MAX_OUTPUT_LIMIT
 
 
 def _wrong(field: str, message: str) -> Result[ModelBody, BadRequest]:
-    return Error(BadRequest(INVALID, field, message))
+    return Error(BadRequest(BAD_REQUEST, field, message))
--- a/libs/entry/src/clementinebend_entry/responder.py
+++ b/libs/entry/src/clementinebend_entry/responder.py
@@ -1,22 +1,22 @@
-"""Answers one caller from the pieces of an execution.
+"""Builds the HTTP response to one caller from the pieces of an execution.
 
-A caller is answered at its deadline at the latest. One that leaves is not
-waited for: what was not dispatched is withdrawn, what was is billed.
+A caller is answered by its deadline at the latest. If it disconnects, a call
+that was not dispatched is withdrawn, and a dispatched one is still billed.
 """
 
 from asyncio import get_running_loop
 from collections.abc import AsyncIterator, Callable
 
-from clementinebend_entry.answers import answer_of, last_event
+from clementinebend_entry.answers import error_event, error_response
 from clementinebend_entry.budget_waits import budget_busy_refusal
 from clementinebend_entry.exceptions import AnswerCutOff
 from clementinebend_entry.execution import Execution
 from clementinebend_entry.metrics import ABANDONED, REQUESTS
 from clementinebend_entry.outcomes import (
     BadRequest,
+    ErrorOutcome,
     Failed,
     Refusal,
-    Trouble,
     Unknown,
 )
 from clementinebend_entry.pieces import Begun, Part, Whole
@@ -29,32 +29,32 @@
 
 
 async def respond(execution: Execution, on_end: OnEnd) -> Response:
-    """Return the answer to a call; ``on_end`` is told when it has ended."""
+    """Return the response to a call; ``on_end`` is called when it has ended."""
     loop = get_running_loop()
-    timer = loop.call_at(execution.call.deadline, expire, execution)
+    timer = loop.call_at(execution.call.deadline, on_deadline, execution)
     execution.output.on_finish = timer.cancel
     try:
         piece = await execution.output.pieces.get()
     except BaseException:
-        leave(execution)
+        on_disconnect(execution)
         on_end()
         raise
     if isinstance(piece, Begun):
         headers = (("content-type", piece.content_type), ("cache-control", "no-store"))
-        return Response(piece.status, headers, stream(execution, on_end))
+        return Response(piece.status, headers, stream_body(execution, on_end))
     on_end()
     if isinstance(piece, Whole):
-        count(RequestOutcome.WHOLE)
+        count_outcome(RequestOutcome.WHOLE)
         return Response(
             piece.status, (("content-type", piece.content_type),), piece.data
         )
     assert not isinstance(piece, Part), "a part came before its head"
-    count_trouble(piece)
-    return answer_of(piece)
+    count_error(piece)
+    return error_response(piece)
 
 
-async def stream(execution: Execution, on_end: OnEnd) -> AsyncIterator[bytes]:
-    """Yield a streamed answer; raise if it cannot be completed."""
+async def stream_body(execution: Execution, on_end: OnEnd) -> AsyncIterator[bytes]:
+    """Yield the chunks of a streamed answer; raise if it cannot be completed."""
     is_ended = False
     try:
         while not is_ended:
@@ -63,20 +63,20 @@
             if isinstance(piece, Part):
                 yield piece.data
             elif isinstance(piece, Whole):
-                count(RequestOutcome.WHOLE)
+                count_outcome(RequestOutcome.WHOLE)
                 yield piece.data
             elif not isinstance(piece, Begun):
-                count_trouble(piece)
-                yield last_event(piece)
+                count_error(piece)
+                yield error_event(piece)
                 raise AnswerCutOff(type(piece).__name__)
     finally:
         if not is_ended:
-            leave(execution)
+            on_disconnect(execution)
         on_end()
 
 
-def expire(execution: Execution) -> None:
-    """Tell the caller at its deadline what is known, unless all was told."""
+def on_deadline(execution: Execution) -> None:
+    """Answer the caller with what is known at its deadline, if still unanswered."""
     if execution.output.is_finished:
         return
     execution.abandon()
@@ -88,25 +88,25 @@
         execution.tell(Refusal(NotRunReason.DEADLINE, DEADLINE_RETRY_MS))
 
 
-def leave(execution: Execution) -> None:
-    """Take in that the caller has left."""
+def on_disconnect(execution: Execution) -> None:
+    """Count the disconnect of a caller and abandon its execution."""
     ABANDONED.inc()
     execution.abandon()
 
 
-def count_trouble(trouble: Trouble) -> None:
-    """Count an outcome other than a whole answer."""
-    match trouble:
+def count_error(error_outcome: ErrorOutcome) -> None:
+    """Count an error outcome."""
+    match error_outcome:
         case Refusal():
-            count(RequestOutcome.NOT_RUN, trouble.reason)
+            count_outcome(RequestOutcome.NOT_RUN, error_outcome.reason)
         case Failed():
-            count(RequestOutcome.FAILED)
+            count_outcome(RequestOutcome.FAILED)
         case Unknown():
-            count(RequestOutcome.UNKNOWN)
+            count_outcome(RequestOutcome.UNKNOWN)
         case BadRequest():
-            REQUESTS.labels("bad_request", trouble.field).inc()
+            REQUESTS.labels("bad_request", error_outcome.field).inc()
 
 
-def count(outcome: RequestOutcome, reason: str = "") -> None:
+def count_outcome(outcome: RequestOutcome, reason: str = "") -> None:
     """Count an answered request."""
     REQUESTS.labels(outcome, reason).inc()
--- a/libs/entry/src/clementinebend_entry/run_opening.py
+++ b/libs/entry/src/clementinebend_entry/run_opening.py
@@ -1,4 +1,4 @@
-"""The message that asks a sidecar to execute a call."""
+"""Builds the messages that ask a sidecar to execute a call."""
 
 from clementinebend_entry.budget_waits import Reservation
 from clementinebend_entry.calls import Call
@@ -6,8 +6,8 @@
 from clementinebend_records.messages import Hello, RunStart, Ticket
 
 
-def run_start(call: Call, run: RunId, ticket: Ticket) -> RunStart:
-    """Return the opening of a run; its deadline is set when it is sent."""
+def build_run_start(call: Call, run: RunId, ticket: Ticket) -> RunStart:
+    """Return the message that starts a run; its deadline is set when it is sent."""
     return RunStart(
         run=run,
         key=call.key,
@@ -25,7 +25,7 @@
     )
 
 
-def ticket_for(reservation: Reservation, sidecar: Hello) -> Ticket:
+def build_ticket(reservation: Reservation, sidecar: Hello) -> Ticket:
     """Return the ticket that lets a sidecar execute a reserved run."""
     return Ticket(
         reservation.budget,
--- a/libs/entry/src/clementinebend_entry/services.py
+++ b/libs/entry/src/clementinebend_entry/services.py
@@ -1,4 +1,4 @@
-"""The owners of state that an execution talks to."""
+"""The stateful components that an execution uses."""
 
 from asyncio import Task
 from collections.abc import Callable
@@ -12,11 +12,11 @@
 from clementinebend_entry.router import Router
 from clementinebend_entry.sidecar_pool import SidecarPool
 
-Watch = Callable[["Task[None]"], None]
+WatchTask = Callable[["Task[None]"], None]
 
 
 class Services(NamedTuple):
-    """All of them; ``watch`` is given tasks that a planned stop waits for."""
+    """The components; ``watch`` registers tasks that a graceful stop waits for."""
 
     gate: AdmissionGate
     router: Router
@@ -25,4 +25,4 @@
     claims: ClaimsDesk
     pointers: PointerDesk
     receipts: ReceiptTracker
-    watch: Watch
+    watch: WatchTask
--- a/tests/unit/entry/test_calls.py
+++ b/tests/unit/entry/test_calls.py
@@ -1,11 +1,11 @@
-"""Requests that are checked before anything is paid."""
+"""Tests of request validation before tokens are reserved."""
 
 from typing import Any
 
 import pytest
 
 from clementinebend_entry.calls import Call
-from clementinebend_entry.model_body import LARGEST_LIMIT
+from clementinebend_entry.model_body import MAX_OUTPUT_LIMIT
 from clementinebend_entry.outcomes import BadRequest, Refusal
 from clementinebend_records.identifiers import request_key
 from clementinebend_records.reasons import NotRunReason
@@ -26,7 +26,7 @@
     assert call.amount == len(made.body) + 7
     assert call.key == request_key("desk", "k")
     assert call.deadline == NOW + 2.0
-    assert call.has_key
+    assert call.has_idempotency_key
 
 
 def test_without_a_limit_the_services_own_is_reserved() -> None:
@@ -37,7 +37,7 @@
 def test_keys_made_up_for_requests_without_one_differ() -> None:
     first, second = parsed(chat_request()), parsed(chat_request())
     assert first.key != second.key
-    assert not first.has_key
+    assert not first.has_idempotency_key
 
 
 def test_the_digest_covers_method_target_and_body() -> None:
@@ -54,12 +54,12 @@
 
 
 @pytest.mark.parametrize(
-    "value", [0, -1, True, 1.5, "9", 201, LARGEST_LIMIT + 1, 2**80]
+    "value", [0, -1, True, 1.5, "9", 201, MAX_OUTPUT_LIMIT + 1, 2**80]
 )
 def test_a_wrong_output_limit_names_its_field(value: object) -> None:
-    trouble = parsed(chat_request(body(max_tokens=value)))
-    assert isinstance(trouble, BadRequest)
-    assert (trouble.status, trouble.field) == (400, "max_tokens")
+    error_outcome = parsed(chat_request(body(max_tokens=value)))
+    assert isinstance(error_outcome, BadRequest)
+    assert (error_outcome.status, error_outcome.field) == (400, "max_tokens")
 
 
 @pytest.mark.parametrize(
@@ -79,9 +79,9 @@
     ],
 )
 def test_a_wrong_body_names_its_field(content: Any, field: str) -> None:
-    trouble = parsed(chat_request(content))
-    assert isinstance(trouble, BadRequest)
-    assert (trouble.status, trouble.field) == (400, field)
+    error_outcome = parsed(chat_request(content))
+    assert isinstance(error_outcome, BadRequest)
+    assert (error_outcome.status, error_outcome.field) == (400, field)
 
 
 @pytest.mark.parametrize(
@@ -98,9 +98,9 @@
     ],
 )
 def test_a_wrong_header_is_named(headers: dict[str, str], field: str) -> None:
-    trouble = parsed(chat_request(**headers))
-    assert isinstance(trouble, BadRequest)
-    assert (trouble.status, trouble.field) == (400, field)
+    error_outcome = parsed(chat_request(**headers))
+    assert isinstance(error_outcome, BadRequest)
+    assert (error_outcome.status, error_outcome.field) == (400, field)
 
 
 def test_a_missing_or_unknown_key_is_unauthorized() -> None:
@@ -133,5 +133,5 @@
     assert booking.amount == 50
 
 
-def test_a_wished_budget_is_used() -> None:
+def test_a_requested_budget_is_used() -> None:
     assert parsed(chat_request(x_budget="desk-extra")).budget == "desk-extra"
