--- a/libs/admission/src/clementinebend_admission/waiting.py
+++ b/libs/admission/src/clementinebend_admission/waiting.py
@@ -14,32 +14,32 @@
 from math import exp
 from typing import NamedTuple
 
-LONGEST_AHEAD_PART = 0.4
+MAX_AHEAD_FRACTION = 0.4
 """Part of the shortest latency target that the prompts ahead of a new one may take at
 its endpoint; the rest is for the prompt itself and for the way there."""
 
-ON_TIME_PART = 0.25
+ON_TIME_WAIT_FRACTION = 0.25
 """Part of a latency target that a prompt may wait here and still be on time: what is
 ahead of it at its endpoint, and reading it, take the rest."""
 
-LEAST_PATIENCE = 2.0
-TARGETS_OF_PATIENCE = 4.0
+MIN_PATIENCE = 2.0
+PATIENCE_IN_LATENCY_TARGETS = 4.0
 """A caller leaves a stream that gives no event for the longest of these: seconds, and
 latency targets."""
 
-WAITED_PART = 0.5
+MAX_WAIT_FRACTION = 0.5
 """Part of a caller's patience that a prompt may wait here; the rest is for reading
 it, and for the way back."""
 
-RATE_SECONDS = 2.0
+RATE_TIME_CONSTANT = 2.0
 """Time constant of the rate at which prompts start: shorter than a burst, longer
 than the gaps between first tokens."""
 
-LEAST_RETURN, MOST_RETURN = 0.5, 5.0
+MIN_RETRY_AFTER, MAX_RETRY_AFTER = 0.5, 5.0
 """Bounds of the seconds after which a refused caller is to come back: one that is told
 more may not wait so long, and one that is told less meets the same queue."""
 
-RETURN_SPREAD = 0.5
+RETRY_JITTER = 0.5
 """Part by which times to come back are spread, so that returns don't come together."""
 
 
@@ -69,14 +69,14 @@
     request: str, priority: int, tokens: int, latency_target: float, now: float
 ) -> WaitingPrompt:
     """Return a prompt that has come now."""
-    patience = max(LEAST_PATIENCE, TARGETS_OF_PATIENCE * latency_target)
+    patience = max(MIN_PATIENCE, PATIENCE_IN_LATENCY_TARGETS * latency_target)
     return WaitingPrompt(
         request,
         priority,
         tokens,
         now,
-        now + latency_target * ON_TIME_PART,
-        now + WAITED_PART * patience,
+        now + latency_target * ON_TIME_WAIT_FRACTION,
+        now + MAX_WAIT_FRACTION * patience,
     )
 
 
@@ -91,12 +91,12 @@
 
 def on_start(rate: StartRate, tokens: int, now: float) -> StartRate:
     """Count a prompt that has started."""
-    return StartRate(rate_now(rate, now) + tokens / RATE_SECONDS, now)
+    return StartRate(rate_now(rate, now) + tokens / RATE_TIME_CONSTANT, now)
 
 
 def rate_now(rate: StartRate, now: float) -> float:
     """Return the tokens of prompts that start in a second, as seen now."""
-    return rate.tokens * exp(-max(0.0, now - rate.seen_at) / RATE_SECONDS)
+    return rate.tokens * exp(-max(0.0, now - rate.seen_at) / RATE_TIME_CONSTANT)
 
 
 def expected_wait(
@@ -123,8 +123,8 @@
 
     ``wait`` is how long the queue is now; ``draw`` from 0 to 1 spreads the returns.
     """
-    spread = 1 + RETURN_SPREAD * draw
-    return min(MOST_RETURN, max(LEAST_RETURN, wait) * spread)
+    spread = 1 + RETRY_JITTER * draw
+    return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait) * spread)
 
 
 def _order(prompt: WaitingPrompt, now: float) -> tuple[bool, int, float, str]:
--- a/libs/relay/src/clementinebend_relay/prompt_queues.py
+++ b/libs/relay/src/clementinebend_relay/prompt_queues.py
@@ -11,7 +11,7 @@
 from random import random
 
 from clementinebend_admission.waiting import (
-    LONGEST_AHEAD_PART,
+    MAX_AHEAD_FRACTION,
     StartRate,
     WaitingPrompt,
     can_start_in_time,
@@ -117,7 +117,7 @@
             target, self.min_latency_targets.get(service, target)
         )
         ahead = survey.seconds_ahead
-        return ahead is None or ahead <= LONGEST_AHEAD_PART * target
+        return ahead is None or ahead <= MAX_AHEAD_FRACTION * target
 
     def _record_start(self, service: str, prompt: WaitingPrompt) -> None:
         now = self.clock()
--- a/tests/unit/admission/test_waiting.py
+++ b/tests/unit/admission/test_waiting.py
@@ -6,8 +6,8 @@
 from hypothesis.strategies import floats
 
 from clementinebend_admission.waiting import (
-    MOST_RETURN,
-    RETURN_SPREAD,
+    MAX_RETRY_AFTER,
+    RETRY_JITTER,
     StartRate,
     WaitingPrompt,
     can_start_in_time,
@@ -62,7 +62,7 @@
 
 @given(floats(0, 1e6), floats(0, 1))
 def test_callers_are_told_to_return_within_bounds(wait: float, draw: float) -> None:
-    assert 0.5 <= return_after(wait, draw) <= MOST_RETURN * (1 + RETURN_SPREAD)
+    assert 0.5 <= return_after(wait, draw) <= MAX_RETRY_AFTER * (1 + RETRY_JITTER)
 
 
 def on_time(in_order: bool) -> tuple[int, int]:
