--- a/libs/admission/src/clementinebend_admission/waiting.py
+++ b/libs/admission/src/clementinebend_admission/waiting.py
@@ -46,7 +46,7 @@
 class WaitingPrompt(NamedTuple):
     """A prompt that waits for an endpoint with little ahead.
 
-    ``on_time_until`` is when it must start to be on time, ``waits_until`` is when
+    ``on_time_deadline`` is when it must start to be on time, ``wait_deadline`` is when
     it is turned away. ``priority`` is 0 for the most urgent.
     """
 
@@ -54,18 +54,18 @@
     priority: int
     tokens: int
     arrived: float
-    on_time_until: float
-    waits_until: float
+    on_time_deadline: float
+    wait_deadline: float
 
 
 class StartRate(NamedTuple):
     """Tokens of prompts that start in a second, as seen lately."""
 
     tokens: float = 0.0
-    seen_at: float = 0.0
+    updated_at: float = 0.0
 
 
-def waiting_prompt(
+def new_waiting_prompt(
     request: str, priority: int, tokens: int, latency_target: float, now: float
 ) -> WaitingPrompt:
     """Return a prompt that has come now."""
@@ -86,17 +86,17 @@
     Those that can still be on time go first, the most urgent first among them and
     then the one that has least time left. The others follow in the same order.
     """
-    return min(waiting, key=lambda prompt: _order(prompt, now), default=None)
+    return min(waiting, key=lambda prompt: _sort_key(prompt, now), default=None)
 
 
-def on_start(rate: StartRate, tokens: int, now: float) -> StartRate:
+def record_started_prompt(rate: StartRate, tokens: int, now: float) -> StartRate:
     """Count a prompt that has started."""
-    return StartRate(rate_now(rate, now) + tokens / RATE_TIME_CONSTANT, now)
+    return StartRate(current_rate(rate, now) + tokens / RATE_TIME_CONSTANT, now)
 
 
-def rate_now(rate: StartRate, now: float) -> float:
+def current_rate(rate: StartRate, now: float) -> float:
     """Return the tokens of prompts that start in a second, as seen now."""
-    return rate.tokens * exp(-max(0.0, now - rate.seen_at) / RATE_TIME_CONSTANT)
+    return rate.tokens * exp(-max(0.0, now - rate.updated_at) / RATE_TIME_CONSTANT)
 
 
 def expected_wait(
@@ -106,19 +106,19 @@
     now: float,
 ) -> float:
     """Return the seconds until ``prompt`` starts, with those that go before it."""
-    order = _order(prompt, now)
-    before = sum(other.tokens for other in waiting if _order(other, now) < order)
+    order = _sort_key(prompt, now)
+    before = sum(other.tokens for other in waiting if _sort_key(other, now) < order)
     if not before:
         return 0.0
-    return before / max(1.0, rate_now(rate, now))
+    return before / max(1.0, current_rate(rate, now))
 
 
 def can_start_in_time(prompt: WaitingPrompt, wait: float, now: float) -> bool:
     """Tell whether a prompt starts before it would be turned away."""
-    return now + wait < prompt.waits_until
+    return now + wait < prompt.wait_deadline
 
 
-def return_after(wait: float, draw: float) -> float:
+def retry_after_seconds(wait: float, draw: float) -> float:
     """Return after how many seconds a refused caller will find room.
 
     ``wait`` is how long the queue is now; ``draw`` from 0 to 1 spreads the returns.
@@ -127,6 +127,6 @@
     return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait) * spread)
 
 
-def _order(prompt: WaitingPrompt, now: float) -> tuple[bool, int, float, str]:
-    is_late = now > prompt.on_time_until
-    return is_late, prompt.priority, prompt.on_time_until, prompt.request
+def _sort_key(prompt: WaitingPrompt, now: float) -> tuple[bool, int, float, str]:
+    is_late = now > prompt.on_time_deadline
+    return is_late, prompt.priority, prompt.on_time_deadline, prompt.request
--- a/libs/relay/src/clementinebend_relay/prompt_queues.py
+++ b/libs/relay/src/clementinebend_relay/prompt_queues.py
@@ -16,10 +16,10 @@
     WaitingPrompt,
     can_start_in_time,
     expected_wait,
+    new_waiting_prompt,
     next_prompt,
-    on_start,
-    return_after,
-    waiting_prompt,
+    record_started_prompt,
+    retry_after_seconds,
 )
 from clementinebend_relay.admission import Admitted
 from clementinebend_relay.decisions import log_decision
@@ -58,7 +58,7 @@
             return None
         now = self.clock()
         service = admitted.service.name
-        prompt = waiting_prompt(
+        prompt = new_waiting_prompt(
             admitted.call.request_id,
             admitted.priority,
             admitted.call.prompt_tokens,
@@ -82,7 +82,7 @@
         waiters = self.waiters[service]
         waiters[prompt.request] = prompt
         try:
-            while (now := self.clock()) < prompt.waits_until:
+            while (now := self.clock()) < prompt.wait_deadline:
                 if next_prompt(waiters.values(), now) == prompt:
                     survey = await self.dispatcher.survey(admitted, ())
                     if self._has_room(admitted, survey):
@@ -121,7 +121,7 @@
 
     def _record_start(self, service: str, prompt: WaitingPrompt) -> None:
         now = self.clock()
-        self.start_rates[service] = on_start(
+        self.start_rates[service] = record_started_prompt(
             self.start_rates[service], prompt.tokens, now
         )
 
@@ -131,7 +131,7 @@
             "prompt waited",
             request_id=prompt.request,
             waited_s=round(now - prompt.arrived, 4),
-            is_late=now > prompt.on_time_until,
+            is_late=now > prompt.on_time_deadline,
         )
 
     def _reject(self, prompt: WaitingPrompt, service: str, wait: float) -> Rejection:
@@ -143,4 +143,6 @@
             tokens_per_s=round(self.start_rates[service].tokens),
         )
         message = "more prompts wait than can start before their callers leave"
-        return Rejection(Reason.OVERLOADED, message, return_after(wait, random()))
+        return Rejection(
+            Reason.OVERLOADED, message, retry_after_seconds(wait, random())
+        )
--- a/tests/unit/admission/test_waiting.py
+++ b/tests/unit/admission/test_waiting.py
@@ -11,12 +11,12 @@
     StartRate,
     WaitingPrompt,
     can_start_in_time,
+    current_rate,
     expected_wait,
+    new_waiting_prompt,
     next_prompt,
-    on_start,
-    rate_now,
-    return_after,
-    waiting_prompt,
+    record_started_prompt,
+    retry_after_seconds,
 )
 
 TARGET = 0.5
@@ -25,7 +25,7 @@
 
 
 def prompt(name: str, priority: int = 1, now: float = 0.0) -> WaitingPrompt:
-    return waiting_prompt(name, priority, 1_000, TARGET, now)
+    return new_waiting_prompt(name, priority, 1_000, TARGET, now)
 
 
 def test_prompts_that_can_be_on_time_go_before_late_ones() -> None:
@@ -47,10 +47,10 @@
 
 
 def test_a_wait_is_worked_out_from_what_goes_before_and_how_fast_it_starts() -> None:
-    rate = on_start(StartRate(), 10_000, 0.0)
+    rate = record_started_prompt(StartRate(), 10_000, 0.0)
     ahead = [prompt("a", 0), prompt("b", 0), prompt("behind", 2)]
     wait = expected_wait(prompt("new"), ahead, rate, 0.0)
-    assert wait == 2_000 / rate_now(rate, 0.0)
+    assert wait == 2_000 / current_rate(rate, 0.0)
     assert expected_wait(prompt("new", 0), [], rate, 0.0) == 0.0
 
 
@@ -62,7 +62,9 @@
 
 @given(floats(0, 1e6), floats(0, 1))
 def test_callers_are_told_to_return_within_bounds(wait: float, draw: float) -> None:
-    assert 0.5 <= return_after(wait, draw) <= MAX_RETRY_AFTER * (1 + RETRY_JITTER)
+    assert (
+        0.5 <= retry_after_seconds(wait, draw) <= MAX_RETRY_AFTER * (1 + RETRY_JITTER)
+    )
 
 
 def on_time(in_order: bool) -> tuple[int, int]:
@@ -81,7 +83,7 @@
             at = arrivals.pop(0)
             waiting.append(prompt(f"{at}", random.randrange(3), at))
         if in_order:
-            waiting = [each for each in waiting if now < each.waits_until]
+            waiting = [each for each in waiting if now < each.wait_deadline]
         if not waiting:
             now = arrivals[0] if arrivals else now
             continue
