--- a/libs/admission/src/clementinebend_admission/estimates.py
+++ b/libs/admission/src/clementinebend_admission/estimates.py
@@ -13,14 +13,14 @@
 
 MIN_RETRY_AFTER_MS = 50
 MAX_RETRY_AFTER_MS = 30_000
-UNKNOWN_RETRY_AFTER_MS = 1_000
+DEFAULT_RETRY_AFTER_MS = 1_000
 """Told when nothing has been measured yet."""
 
-RETRY_SPREAD = 0.5
+RETRY_JITTER = 0.5
 """Retry times are spread over this share, so that callers do not return at once."""
 
 
-class ServiceMeasure(NamedTuple):
+class ServiceAverages(NamedTuple):
     """Moving averages over finished requests; ``samples`` of 0 means unknown."""
 
     samples: int = 0
@@ -28,37 +28,39 @@
     tokens: float = 0.0
 
 
-def add_sample(measure: ServiceMeasure, duration: float, tokens: int) -> ServiceMeasure:
+def add_sample(
+    averages: ServiceAverages, duration: float, tokens: int
+) -> ServiceAverages:
     """Return the averages with one more finished request in them."""
-    samples = measure.samples + 1
+    samples = averages.samples + 1
     weight = max(SMOOTHING, 1 / samples)
-    return ServiceMeasure(
+    return ServiceAverages(
         samples,
-        measure.duration + weight * (duration - measure.duration),
-        measure.tokens + weight * (tokens - measure.tokens),
+        averages.duration + weight * (duration - averages.duration),
+        averages.tokens + weight * (tokens - averages.tokens),
     )
 
 
-def concurrency(capacity: Capacity, measure: ServiceMeasure) -> float:
+def concurrency(capacity: Capacity, averages: ServiceAverages) -> float:
     """Return how many average requests the capacity runs at one time."""
-    if capacity.tokens is None or not measure.tokens:
+    if capacity.tokens is None or not averages.tokens:
         return float(capacity.slots)
-    return min(float(capacity.slots), max(1.0, capacity.tokens / measure.tokens))
+    return min(float(capacity.slots), max(1.0, capacity.tokens / averages.tokens))
 
 
-def expected_wait(capacity: Capacity, measure: ServiceMeasure, ahead: float) -> float:
+def expected_wait(capacity: Capacity, averages: ServiceAverages, ahead: float) -> float:
     """Return the wait behind ``ahead`` queued tokens when nothing is free now."""
     if not capacity.slots:
         return float("inf")
-    if not measure.samples:
+    if not averages.samples:
         return 0.0
-    requests_ahead = ahead / max(1.0, measure.tokens)
-    return (requests_ahead + 1) * measure.duration / concurrency(capacity, measure)
+    requests_ahead = ahead / max(1.0, averages.tokens)
+    return (requests_ahead + 1) * averages.duration / concurrency(capacity, averages)
 
 
 def retry_after_ms(wait: float, request: str) -> int:
     """Return when to come back, spread by ``request`` and kept within limits."""
     if wait == float("inf"):
-        return UNKNOWN_RETRY_AFTER_MS
-    spread = 1 + RETRY_SPREAD * (crc32(request.encode()) % 1000) / 1000
+        return DEFAULT_RETRY_AFTER_MS
+    spread = 1 + RETRY_JITTER * (crc32(request.encode()) % 1000) / 1000
     return min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, round(wait * spread * 1000)))
--- a/libs/admission/src/clementinebend_admission/queue.py
+++ b/libs/admission/src/clementinebend_admission/queue.py
@@ -89,7 +89,7 @@
     state.teams[arrival.team] = team._replace(running=team.running - 1)
     state = state._replace(
         running_tokens=state.running_tokens - arrival.tokens,
-        measure=add_sample(state.measure, now - running.started_at, arrival.tokens),
+        averages=add_sample(state.averages, now - running.started_at, arrival.tokens),
     )
     return _start_waiting(state, now)
 
@@ -203,7 +203,7 @@
 
 def _wait(state: AdmissionState, arrival: Arrival) -> float:
     ahead = tokens_ahead(state.teams, state.backlogged, arrival)
-    return expected_wait(state.capacity, state.measure, ahead)
+    return expected_wait(state.capacity, state.averages, ahead)
 
 
 def _retry_after(state: AdmissionState, arrival: Arrival, tolerated: float) -> int:
--- a/libs/admission/src/clementinebend_admission/state.py
+++ b/libs/admission/src/clementinebend_admission/state.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from clementinebend_admission.estimates import ServiceMeasure
+from clementinebend_admission.estimates import ServiceAverages
 from clementinebend_admission.models import Arrival, Capacity
 from clementinebend_admission.teams import TeamState, head, leave, next_team
 
@@ -37,7 +37,7 @@
     overdue: dict[str, Arrival]
     running: dict[str, Running]
     running_tokens: int = 0
-    measure: ServiceMeasure = ServiceMeasure()
+    averages: ServiceAverages = ServiceAverages()
     floor: float = 0.0
     sequence: int = 0
     clock: float = 0.0
