--- a/libs/admission/src/clementinebend_admission/retries.py
+++ b/libs/admission/src/clementinebend_admission/retries.py
@@ -18,10 +18,10 @@
 FLEET_BURST = 20.0
 """Most retries that a quiet time can save up for all teams together."""
 
-WHOLE_RETRY = 1 - 1e-9
+MIN_RETRY_BALANCE = 1 - 1e-9
 """A whole retry, less the rounding error of adding up ratios."""
 
-FIRST_BALANCE = 1.0
+INITIAL_BALANCE = 1.0
 """Retries that a team has with its first request."""
 
 
@@ -33,22 +33,22 @@
     teams: dict[str, float]
 
 
-def empty_retries(ratio: float = RETRY_RATIO) -> RetryState:
+def new_retry_state(ratio: float = RETRY_RATIO) -> RetryState:
     """Return the budgets before the first request."""
-    return RetryState(ratio, FIRST_BALANCE, {})
+    return RetryState(ratio, INITIAL_BALANCE, {})
 
 
 def on_request(state: RetryState, team: str, now: float) -> RetryState:
     """Count a first attempt of ``team``."""
-    balance = state.teams.get(team, FIRST_BALANCE)
+    balance = state.teams.get(team, INITIAL_BALANCE)
     state.teams[team] = min(TEAM_BURST, balance + state.ratio)
     return state._replace(fleet=min(FLEET_BURST, state.fleet + state.ratio))
 
 
 def may_retry(state: RetryState, team: str, now: float) -> tuple[RetryState, bool]:
     """Tell whether ``team`` may retry now; if so the retry is counted."""
-    balance = state.teams.get(team, FIRST_BALANCE)
-    if balance < WHOLE_RETRY or state.fleet < WHOLE_RETRY:
+    balance = state.teams.get(team, INITIAL_BALANCE)
+    if balance < MIN_RETRY_BALANCE or state.fleet < MIN_RETRY_BALANCE:
         return state, False
     state.teams[team] = balance - 1
     return state._replace(fleet=state.fleet - 1), True
--- a/libs/admission/src/clementinebend_admission/retry_window.py
+++ b/libs/admission/src/clementinebend_admission/retry_window.py
@@ -9,7 +9,7 @@
 from collections import deque
 from typing import NamedTuple
 
-SAFETY = 0.8
+SAFETY_FACTOR = 0.8
 """Part of the budget that is used: the windows of entries do not align."""
 
 
@@ -37,7 +37,7 @@
         _drop_before(self.requests, now - limits.window)
         _drop_before(self.retries, now - limits.window)
         earned = limits.ratio * len(self.requests) + limits.slack / max(1, entries)
-        if len(self.retries) + 1 > earned * SAFETY:
+        if len(self.retries) + 1 > earned * SAFETY_FACTOR:
             return False
         self.retries.append(now)
         return True
--- a/libs/bench/src/clementinebend_bench/models/outage_entries.py
+++ b/libs/bench/src/clementinebend_bench/models/outage_entries.py
@@ -22,8 +22,8 @@
 )
 from clementinebend_admission.retries import (
     RetryState,
-    empty_retries,
     may_retry,
+    new_retry_state,
     on_request,
 )
 from clementinebend_bench.models.policies import (
@@ -101,7 +101,7 @@
 def fleet_entry(candidates: tuple[Candidate, ...], zone: str, seed: int) -> Entry:
     """Return the fleet's entry before its first request."""
     routing = set_endpoints(empty_routing(seed), candidates, 0.0)
-    return FleetEntry(zone, empty_admission(), empty_retries(), routing, {})
+    return FleetEntry(zone, empty_admission(), new_retry_state(), routing, {})
 
 
 @singledispatch
--- a/libs/entry/src/clementinebend_entry/admission_gate.py
+++ b/libs/entry/src/clementinebend_entry/admission_gate.py
@@ -15,7 +15,7 @@
     finish,
     set_capacity,
 )
-from clementinebend_admission.retries import empty_retries, may_retry, on_request
+from clementinebend_admission.retries import may_retry, new_retry_state, on_request
 from clementinebend_entry.calls import Call
 from clementinebend_entry.outcomes import Refusal
 from clementinebend_records.identifiers import RunId
@@ -31,7 +31,7 @@
     def __init__(self, retry_ratio: float) -> None:
         self.loop = get_running_loop()
         self.state = empty_admission()
-        self.retries = empty_retries(retry_ratio)
+        self.retries = new_retry_state(retry_ratio)
         self.waiting: dict[str, Future[Verdict]] = {}
         self.arrived = Event()
 
--- a/tests/unit/admission/test_retries.py
+++ b/tests/unit/admission/test_retries.py
@@ -1,10 +1,10 @@
 """Retries stay within their share of the requests."""
 
-from clementinebend_admission.retries import empty_retries, may_retry, on_request
+from clementinebend_admission.retries import may_retry, new_retry_state, on_request
 
 
 def test_retries_stay_within_the_ratio_while_everything_fails() -> None:
-    state = empty_retries(ratio=0.1)
+    state = new_retry_state(ratio=0.1)
     retries = 0
     for number in range(10_000):
         state = on_request(state, f"team{number % 7}", number / 10)
@@ -14,7 +14,7 @@
 
 
 def test_one_failing_team_leaves_the_others_their_retries() -> None:
-    state = empty_retries(ratio=0.1)
+    state = new_retry_state(ratio=0.1)
     for number in range(200):
         state = on_request(state, "failing", number)
         state, _ = may_retry(state, "failing", number)
