--- a/libs/admission/src/clementinebend_admission/models.py
+++ b/libs/admission/src/clementinebend_admission/models.py
@@ -52,4 +52,4 @@
     request: str
 
 
-Verdict = Admitted | Queued | Refused
+AdmissionOutcome = Admitted | Queued | Refused
--- a/libs/admission/src/clementinebend_admission/queue.py
+++ b/libs/admission/src/clementinebend_admission/queue.py
@@ -12,32 +12,32 @@
     retry_after_ms,
 )
 from clementinebend_admission.models import (
+    AdmissionOutcome,
     Admitted,
     Arrival,
     Capacity,
     Queued,
     Refused,
-    Verdict,
 )
 from clementinebend_admission.state import (
     AdmissionState,
     Running,
     empty_admission,
-    fits,
+    has_capacity,
     is_known,
+    mark_overdue,
     next_waiting,
     remove,
-    set_overdue,
     waiting,
     waiting_count,
 )
 from clementinebend_admission.teams import (
     charge,
     enqueue,
-    learn_use,
-    lift,
     new_team,
+    raise_counter,
     tokens_ahead,
+    update_used_share,
 )
 from clementinebend_records.reasons import NotRun
 
@@ -59,17 +59,17 @@
 
 def arrive(
     state: AdmissionState, arrival: Arrival, now: float
-) -> tuple[AdmissionState, Verdict]:
+) -> tuple[AdmissionState, AdmissionOutcome]:
     """Give a new request its verdict; ``Queued`` is followed by another one."""
     if is_known(state, arrival.request):
         raise ValueError(f"request {arrival.request!r} has arrived before")
     next_waiting(state, now)
-    state = _enter(state, arrival.team, arrival.weight, now)
+    state = _register_team(state, arrival.team, arrival.weight, now)
     if arrival.deadline <= now:
         return state, Refused(
             NotRun.DEADLINE, _retry_after(state, arrival, 0.0), arrival.request
         )
-    if _goes_next(state, arrival):
+    if _can_start_now(state, arrival):
         return _start(state, arrival, now), Admitted(arrival.request)
     return _queue_or_refuse(state, arrival, now)
 
@@ -85,7 +85,7 @@
     arrival = running.arrival
     team = state.teams[arrival.team]
     team = charge(team, tokens - running.charged)
-    team = learn_use(team, arrival.tokens, tokens)
+    team = update_used_share(team, arrival.tokens, tokens)
     state.teams[arrival.team] = team._replace(running=team.running - 1)
     state = state._replace(
         running_tokens=state.running_tokens - arrival.tokens,
@@ -118,7 +118,7 @@
     state = state._replace(clock=now)
     late = [arrival for arrival in waiting(state) if arrival.deadline <= now]
     for arrival in late:
-        set_overdue(state, arrival)
+        mark_overdue(state, arrival)
     refused = tuple(
         Refused(NotRun.DEADLINE, _retry_after(state, arrival, 0.0), arrival.request)
         for arrival in state.overdue.values()
@@ -143,21 +143,21 @@
     return _start_waiting(state, clock)
 
 
-def _enter(
+def _register_team(
     state: AdmissionState, name: str, weight: float, now: float
 ) -> AdmissionState:
     """Return the state with the team known, and lifted if it was idle."""
     team = state.teams.get(name) or new_team(weight, state.floor)
     if name not in state.backlogged:
         counters = (state.teams[other].counter for other in state.backlogged)
-        team = lift(team, min(counters, default=state.floor))
+        team = raise_counter(team, min(counters, default=state.floor))
     state.teams[name] = team._replace(weight=new_team(weight, 0.0).weight)
     return state._replace(clock=now)
 
 
-def _goes_next(state: AdmissionState, arrival: Arrival) -> bool:
+def _can_start_now(state: AdmissionState, arrival: Arrival) -> bool:
     """Tell whether the request runs at once and passes over nobody."""
-    if not fits(state, arrival):
+    if not has_capacity(state, arrival):
         return False
     rivals = (state.teams[name].counter for name in state.backlogged)
     least = min(rivals, default=float("inf"))
@@ -169,8 +169,8 @@
 
 def _queue_or_refuse(
     state: AdmissionState, arrival: Arrival, now: float
-) -> tuple[AdmissionState, Verdict]:
-    wait = _wait(state, arrival)
+) -> tuple[AdmissionState, AdmissionOutcome]:
+    wait = _expected_wait(state, arrival)
     remaining = arrival.deadline - now
     if wait >= remaining:
         reason = NotRun.DEADLINE if state.capacity.slots else NotRun.NO_ENDPOINT
@@ -182,7 +182,7 @@
     team = enqueue(state.teams[arrival.team], arrival, state.sequence)
     state.teams[arrival.team] = team
     state.backlogged[arrival.team] = None
-    state.owners[arrival.request] = arrival.team
+    state.team_by_request[arrival.request] = arrival.team
     state = state._replace(sequence=state.sequence + 1)
     return state, Queued(arrival.request, wait)
 
@@ -193,7 +193,7 @@
     A full queue still takes a team's requests up to its share by weight, so a
     team that fills the queue cannot shut out the others.
     """
-    if len(state.owners) < state.queue_limit:
+    if len(state.team_by_request) < state.queue_limit:
         return False
     own = state.teams[arrival.team]
     names = {arrival.team, *state.backlogged}
@@ -201,14 +201,16 @@
     return len(own.waiting) >= state.queue_limit * own.weight / weights
 
 
-def _wait(state: AdmissionState, arrival: Arrival) -> float:
+def _expected_wait(state: AdmissionState, arrival: Arrival) -> float:
     ahead = tokens_ahead(state.teams, state.backlogged, arrival)
     return expected_wait(state.capacity, state.averages, ahead)
 
 
 def _retry_after(state: AdmissionState, arrival: Arrival, tolerated: float) -> int:
     """Return when the wait will have come down to what the caller tolerates."""
-    return retry_after_ms(max(0.0, _wait(state, arrival) - tolerated), arrival.request)
+    return retry_after_ms(
+        max(0.0, _expected_wait(state, arrival) - tolerated), arrival.request
+    )
 
 
 def _start(state: AdmissionState, arrival: Arrival, now: float) -> AdmissionState:
@@ -231,7 +233,9 @@
     Those past their deadline are left for ``expire`` to refuse.
     """
     admitted = []
-    while (arrival := next_waiting(state, now)) is not None and fits(state, arrival):
+    while (arrival := next_waiting(state, now)) is not None and has_capacity(
+        state, arrival
+    ):
         remove(state, arrival.request)
         state = _start(state, arrival, now)
         admitted.append(Admitted(arrival.request))
--- a/libs/admission/src/clementinebend_admission/state.py
+++ b/libs/admission/src/clementinebend_admission/state.py
@@ -5,7 +5,7 @@
 
 from clementinebend_admission.estimates import ServiceAverages
 from clementinebend_admission.models import Arrival, Capacity
-from clementinebend_admission.teams import TeamState, head, leave, next_team
+from clementinebend_admission.teams import TeamState, dequeue, next_arrival, next_team
 
 DEFAULT_SLOTS = 64
 DEFAULT_QUEUE_LIMIT = 1024
@@ -22,8 +22,8 @@
 class AdmissionState(NamedTuple):
     """All that admission knows.
 
-    ``backlogged`` holds the teams with requests waiting, ``owners`` the team of
-    each waiting request, ``overdue`` the requests that waited past their
+    ``backlogged`` holds the teams with requests waiting, ``team_by_request`` the
+    team of each waiting request, ``overdue`` the requests that waited past their
     deadline and are still to be refused by ``expire``, and ``floor`` the
     counter of the last team whose queue became empty. Waiting requests number
     at most twice ``queue_limit``.
@@ -33,7 +33,7 @@
     queue_limit: int
     teams: dict[str, TeamState]
     backlogged: dict[str, None]
-    owners: dict[str, str]
+    team_by_request: dict[str, str]
     overdue: dict[str, Arrival]
     running: dict[str, Running]
     running_tokens: int = 0
@@ -54,17 +54,19 @@
 
 def waiting_count(state: AdmissionState) -> int:
     """Return how many requests wait."""
-    return len(state.owners)
+    return len(state.team_by_request)
 
 
 def is_known(state: AdmissionState, request: str) -> bool:
     """Tell whether the request waits, runs, or is still to be refused."""
     return (
-        request in state.owners or request in state.running or request in state.overdue
+        request in state.team_by_request
+        or request in state.running
+        or request in state.overdue
     )
 
 
-def fits(state: AdmissionState, arrival: Arrival) -> bool:
+def has_capacity(state: AdmissionState, arrival: Arrival) -> bool:
     """Tell whether capacity is free for the request.
 
     One that is larger than the whole capacity runs when it is alone.
@@ -80,16 +82,16 @@
 def next_waiting(state: AdmissionState, now: float) -> Arrival | None:
     """Return the request whose turn it is, setting overdue ones aside."""
     while (name := next_team(state.teams, state.backlogged)) is not None:
-        arrival = head(state.teams[name])
+        arrival = next_arrival(state.teams[name])
         if arrival is None:
             raise ValueError(f"team {name!r} is backlogged with nothing waiting")
         if arrival.deadline > now:
             return arrival
-        set_overdue(state, arrival)
+        mark_overdue(state, arrival)
     return None
 
 
-def set_overdue(state: AdmissionState, arrival: Arrival) -> None:
+def mark_overdue(state: AdmissionState, arrival: Arrival) -> None:
     """Set a waiting request aside for ``expire`` to refuse."""
     remove(state, arrival.request)
     state.overdue[arrival.request] = arrival
@@ -97,10 +99,10 @@
 
 def remove(state: AdmissionState, request: str) -> None:
     """Take a request out of its team's queue, if it waits."""
-    name = state.owners.pop(request, None)
+    name = state.team_by_request.pop(request, None)
     if name is None:
         return
-    team = leave(state.teams[name], request)
+    team = dequeue(state.teams[name], request)
     state.teams[name] = team
     if not team.waiting:
         del state.backlogged[name]
--- a/libs/admission/src/clementinebend_admission/teams.py
+++ b/libs/admission/src/clementinebend_admission/teams.py
@@ -12,7 +12,7 @@
 
 from clementinebend_admission.models import Arrival
 
-USE_SMOOTHING = 0.1
+USED_SHARE_SMOOTHING = 0.1
 """Weight of the newest request in a team's share of its upper bounds used."""
 
 MIN_WEIGHT = 1e-6
@@ -54,7 +54,7 @@
     return team._replace(waiting_tokens=team.waiting_tokens + arrival.tokens)
 
 
-def leave(team: TeamState, request: str) -> TeamState:
+def dequeue(team: TeamState, request: str) -> TeamState:
     """Take a request out of the team's queue."""
     arrival = team.waiting.pop(request)
     if not team.waiting:
@@ -62,7 +62,7 @@
     return team._replace(waiting_tokens=team.waiting_tokens - arrival.tokens)
 
 
-def head(team: TeamState) -> Arrival | None:
+def next_arrival(team: TeamState) -> Arrival | None:
     """Return the request that the team runs next."""
     while team.queue and team.queue[0].arrival.request not in team.waiting:
         heappop(team.queue)
@@ -74,16 +74,16 @@
     return team._replace(counter=team.counter + tokens / team.weight)
 
 
-def lift(team: TeamState, floor: float) -> TeamState:
+def raise_counter(team: TeamState, floor: float) -> TeamState:
     """Return the team with its counter not below ``floor``."""
     return team._replace(counter=max(team.counter, floor))
 
 
-def learn_use(team: TeamState, bound: int, tokens: int) -> TeamState:
+def update_used_share(team: TeamState, bound: int, tokens: int) -> TeamState:
     """Return the team with one more sample of the share of a bound it used."""
     share = min(1.0, tokens / max(1, bound))
     return team._replace(
-        used_share=team.used_share + USE_SMOOTHING * (share - team.used_share)
+        used_share=team.used_share + USED_SHARE_SMOOTHING * (share - team.used_share)
     )
 
 
@@ -110,12 +110,14 @@
     )
     level = own.counter + ahead * own.used_share / own.weight
     others = (
-        _tokens_until(teams[name], level) for name in backlogged if name != arrival.team
+        _tokens_before_level(teams[name], level)
+        for name in backlogged
+        if name != arrival.team
     )
     return ahead + sum(others)
 
 
-def _tokens_until(team: TeamState, level: float) -> float:
+def _tokens_before_level(team: TeamState, level: float) -> float:
     served = (level - team.counter) * team.weight / max(MIN_WEIGHT, team.used_share)
     if served <= 0:
         return 0.0
--- a/tests/unit/admission/test_stateful_queue.py
+++ b/tests/unit/admission/test_stateful_queue.py
@@ -112,7 +112,7 @@
     @invariant()
     def every_arrival_is_in_one_place(self) -> None:
         assert set(self.state.running) == set(self.running)
-        kept = set(self.state.owners) | set(self.state.overdue)
+        kept = set(self.state.team_by_request) | set(self.state.overdue)
         assert kept == set(self.waiting)
 
     def teardown(self) -> None:
