--- a/libs/admission/src/clementinebend_admission/estimates.py
+++ b/libs/admission/src/clementinebend_admission/estimates.py
@@ -1,4 +1,4 @@
-"""Measured service times, and the waits and retry times worked out from them.
+"""Measured service times, and the wait and retry estimates based on them.
 
 Durations are in seconds unless a name ends in ``_ms``.
 """
@@ -14,10 +14,10 @@
 MIN_RETRY_AFTER_MS = 50
 MAX_RETRY_AFTER_MS = 30_000
 DEFAULT_RETRY_AFTER_MS = 1_000
-"""Told when nothing has been measured yet."""
+"""Retry time if the wait cannot be estimated because there is no capacity."""
 
 RETRY_JITTER = 0.5
-"""Retry times are spread over this share, so that callers do not return at once."""
+"""Maximum jitter as a fraction of a retry time, so that retries do not coincide."""
 
 
 class ServiceAverages(NamedTuple):
@@ -31,7 +31,7 @@
 def add_sample(
     averages: ServiceAverages, duration: float, tokens: int
 ) -> ServiceAverages:
-    """Return the averages with one more finished request in them."""
+    """Return the averages updated with a finished request."""
     samples = averages.samples + 1
     weight = max(SMOOTHING, 1 / samples)
     return ServiceAverages(
@@ -42,14 +42,14 @@
 
 
 def concurrency(capacity: Capacity, averages: ServiceAverages) -> float:
-    """Return how many average requests the capacity runs at one time."""
+    """Return how many requests of average size can run concurrently."""
     if capacity.tokens is None or not averages.tokens:
         return float(capacity.slots)
     return min(float(capacity.slots), max(1.0, capacity.tokens / averages.tokens))
 
 
 def expected_wait(capacity: Capacity, averages: ServiceAverages, ahead: float) -> float:
-    """Return the wait behind ``ahead`` queued tokens when nothing is free now."""
+    """Return the wait behind ``ahead`` queued tokens if all capacity is in use."""
     if not capacity.slots:
         return float("inf")
     if not averages.samples:
@@ -59,7 +59,7 @@
 
 
 def retry_after_ms(wait: float, request: str) -> int:
-    """Return when to come back, spread by ``request`` and kept within limits."""
+    """Return a retry time within limits, with jitter derived from ``request``."""
     if wait == float("inf"):
         return DEFAULT_RETRY_AFTER_MS
     spread = 1 + RETRY_JITTER * (crc32(request.encode()) % 1000) / 1000
--- a/libs/admission/src/clementinebend_admission/models.py
+++ b/libs/admission/src/clementinebend_admission/models.py
@@ -1,4 +1,4 @@
-"""What goes into admission and what comes out of it.
+"""Inputs and outcomes of admission.
 
 Times are monotonic seconds, amounts are in tokens.
 """
@@ -9,18 +9,18 @@
 
 
 class Capacity(NamedTuple):
-    """What may run at one time: requests, and upper bounds of tokens if given."""
+    """Maximum number of concurrent requests and, if set, of their reserved tokens."""
 
     slots: int
     tokens: int | None = None
 
 
 class Arrival(NamedTuple):
-    """A request at the door.
+    """A new request.
 
-    ``tokens`` is its upper bound, ``deadline`` the time by which it must have
-    started; among requests of one team the lower ``priority`` number goes
-    first, as on the engines.
+    ``tokens`` is the upper bound of its cost, ``deadline`` the time by which it
+    must have started. Among requests of one team the lowest ``priority`` number
+    is served first, as on the engines.
     """
 
     request: str
@@ -32,7 +32,7 @@
 
 
 class Admitted(NamedTuple):
-    """The request runs now and holds capacity until ``finish``."""
+    """The request starts now and holds capacity until ``finish`` or ``cancel``."""
 
     request: str
 
@@ -45,7 +45,7 @@
 
 
 class Refused(NamedTuple):
-    """The request does not run; ``retry_after_ms`` follows from the state."""
+    """The request does not run; ``retry_after_ms`` is based on the expected wait."""
 
     reason: NotRun
     retry_after_ms: int
--- a/libs/admission/src/clementinebend_admission/queue.py
+++ b/libs/admission/src/clementinebend_admission/queue.py
@@ -1,9 +1,10 @@
-"""Admission: run now, wait in the team's queue, or refuse at once.
+"""Admission: start a request, queue it for its team, or refuse it.
 
-Fairness between teams is by virtual token counters (see ``teams``), order
-within a team by priority. A request that cannot start before its deadline is
-refused at the door. All is decided in memory: ``(state, event, now)`` gives
-``(state, outcomes)``, and the state handed in is consumed.
+Virtual token counters keep teams fair (see ``teams``); within a team, requests
+are ordered by priority. A request that is not expected to start before its
+deadline is refused on arrival. The functions do no I/O: each maps ``(state,
+event, now)`` to ``(state, outcomes)``. They modify the state passed in, so
+callers must only use the returned one.
 """
 
 from clementinebend_admission.estimates import (
@@ -60,7 +61,7 @@
 def arrive(
     state: AdmissionState, arrival: Arrival, now: float
 ) -> tuple[AdmissionState, AdmissionOutcome]:
-    """Give a new request its verdict; ``Queued`` is followed by another one."""
+    """Admit, queue or refuse a new request; a queued one gets a final outcome later."""
     if is_known(state, arrival.request):
         raise ValueError(f"request {arrival.request!r} has arrived before")
     next_waiting(state, now)
@@ -77,7 +78,7 @@
 def finish(
     state: AdmissionState, request: str, tokens: int, now: float
 ) -> tuple[AdmissionState, tuple[Admitted, ...]]:
-    """Take the end of a running request that cost ``tokens``; start others."""
+    """Release a finished request that cost ``tokens`` and start waiting ones."""
     state = state._replace(clock=now)
     running = state.running.pop(request, None)
     if running is None:
@@ -97,7 +98,11 @@
 def cancel(
     state: AdmissionState, request: str, now: float
 ) -> tuple[AdmissionState, tuple[Admitted, ...]]:
-    """Take away a request that nobody waits for and that did not run."""
+    """Remove a request whose caller left and that was not executed.
+
+    If it held capacity, the charge to its team is reversed and waiting requests
+    are started.
+    """
     state = state._replace(clock=now)
     running = state.running.pop(request, None)
     if running is None:
@@ -133,10 +138,10 @@
     tokens: int | None = None,
     now: float | None = None,
 ) -> tuple[AdmissionState, tuple[Admitted, ...]]:
-    """Change what may run at one time; more of it starts waiting requests.
+    """Change the capacity and start the waiting requests that fit into it.
 
-    Without ``now`` the time of the last event is taken, and requests that
-    became overdue since then may start.
+    Without ``now``, the time of the last event is used, and requests that have
+    become overdue since then may start.
     """
     clock = state.clock if now is None else now
     state = state._replace(capacity=Capacity(slots, tokens), clock=clock)
@@ -146,7 +151,7 @@
 def _register_team(
     state: AdmissionState, name: str, weight: float, now: float
 ) -> AdmissionState:
-    """Return the state with the team known, and lifted if it was idle."""
+    """Add or update the team, and raise its counter if it has nothing waiting."""
     team = state.teams.get(name) or new_team(weight, state.floor)
     if name not in state.backlogged:
         counters = (state.teams[other].counter for other in state.backlogged)
@@ -156,7 +161,7 @@
 
 
 def _can_start_now(state: AdmissionState, arrival: Arrival) -> bool:
-    """Tell whether the request runs at once and passes over nobody."""
+    """Return whether the request can start now without overtaking waiting ones."""
     if not has_capacity(state, arrival):
         return False
     rivals = (state.teams[name].counter for name in state.backlogged)
@@ -188,10 +193,10 @@
 
 
 def _queue_is_full(state: AdmissionState, arrival: Arrival) -> bool:
-    """Tell whether the queue is full for this team.
+    """Return whether the queue is full for this team.
 
-    A full queue still takes a team's requests up to its share by weight, so a
-    team that fills the queue cannot shut out the others.
+    A full queue still accepts a team's requests up to the team's share by weight,
+    so that a team that fills the queue cannot lock out the others.
     """
     if len(state.team_by_request) < state.queue_limit:
         return False
@@ -207,7 +212,7 @@
 
 
 def _retry_after(state: AdmissionState, arrival: Arrival, tolerated: float) -> int:
-    """Return when the wait will have come down to what the caller tolerates."""
+    """Return the time in which the wait is expected to fall to ``tolerated``."""
     return retry_after_ms(
         max(0.0, _expected_wait(state, arrival) - tolerated), arrival.request
     )
@@ -230,7 +235,7 @@
 ) -> tuple[AdmissionState, tuple[Admitted, ...]]:
     """Start waiting requests in order while capacity is free.
 
-    Those past their deadline are left for ``expire`` to refuse.
+    Requests past their deadline are set aside for ``expire`` to refuse.
     """
     admitted = []
     while (arrival := next_waiting(state, now)) is not None and has_capacity(
--- a/libs/admission/src/clementinebend_admission/retries.py
+++ b/libs/admission/src/clementinebend_admission/retries.py
@@ -1,10 +1,10 @@
-"""Retry budgets: a retry is allowed only while retries are few.
+"""Retry budgets, which limit retries to a fraction of the requests.
 
-Each team and the fleet have a budget that every first attempt fills by a
-share of one retry. A retry takes a whole one from both. So attempts stay
-within ``1 + ratio`` times the requests, also while every endpoint fails.
-Source: "Site Reliability Engineering" (Beyer et al., 2016), chapter 21. Each
-entry keeps the budget for its own part of the traffic.
+Each team and the fleet have a budget. Every first attempt adds ``ratio`` of a
+retry to both, and a retry takes one from both. Apart from the initial balance,
+attempts stay within ``1 + ratio`` times the requests, even if every endpoint
+fails. Source: "Site Reliability Engineering" (Beyer et al., 2016), chapter 21.
+Each entry keeps the budgets for its own part of the traffic.
 """
 
 from typing import NamedTuple
@@ -13,20 +13,20 @@
 """Retries allowed for each request."""
 
 TEAM_BURST = 5.0
-"""Most retries that a quiet time can save up for a team."""
+"""Maximum number of unused retries that a team accumulates."""
 
 FLEET_BURST = 20.0
-"""Most retries that a quiet time can save up for all teams together."""
+"""Maximum number of unused retries that the fleet accumulates."""
 
 MIN_RETRY_BALANCE = 1 - 1e-9
-"""A whole retry, less the rounding error of adding up ratios."""
+"""Balance needed for a retry: one, less the rounding error of summing ratios."""
 
 INITIAL_BALANCE = 1.0
-"""Retries that a team has with its first request."""
+"""Initial balance of the fleet and of each team."""
 
 
 class RetryState(NamedTuple):
-    """Retries left, for the fleet and by team, and the ratio they grow by."""
+    """Remaining retries of the fleet and of each team, and the retries per request."""
 
     ratio: float
     fleet: float
@@ -34,7 +34,7 @@
 
 
 def new_retry_state(ratio: float = RETRY_RATIO) -> RetryState:
-    """Return the budgets before the first request."""
+    """Return the initial budgets."""
     return RetryState(ratio, INITIAL_BALANCE, {})
 
 
@@ -46,7 +46,7 @@
 
 
 def may_retry(state: RetryState, team: str, now: float) -> tuple[RetryState, bool]:
-    """Tell whether ``team`` may retry now; if so the retry is counted."""
+    """Return whether ``team`` may retry, and deduct the retry if so."""
     balance = state.teams.get(team, INITIAL_BALANCE)
     if balance < MIN_RETRY_BALANCE or state.fleet < MIN_RETRY_BALANCE:
         return state, False
--- a/libs/admission/src/clementinebend_admission/retry_window.py
+++ b/libs/admission/src/clementinebend_admission/retry_window.py
@@ -1,16 +1,16 @@
 """A fleet's retry budget in a sliding window, split between its entries.
 
-In any window, a service may get ``ratio`` times its requests and ``slack``
-arrivals beyond the first of each request, summed over all entries. Each entry
-keeps to the part that its own requests earn and an equal part of the slack, so
-that the sum holds also while the entries cannot hear each other.
+In any window, a service may get retries of ``ratio`` times its requests plus
+``slack``, summed over all entries. Each entry limits itself to ``ratio`` times its
+own requests plus an equal part of the slack, so that the limit also holds while
+entries cannot communicate.
 """
 
 from collections import deque
 from typing import NamedTuple
 
 SAFETY_FACTOR = 0.8
-"""Part of the budget that is used: the windows of entries do not align."""
+"""Fraction of the budget in use, since the windows of entries are not aligned."""
 
 
 class RetryLimits(NamedTuple):
@@ -22,7 +22,7 @@
 
 
 class RetryWindow:
-    """One entry's requests and retries for one service, by time."""
+    """Timestamps of one entry's requests and retries for one service."""
 
     def __init__(self) -> None:
         self.requests: deque[float] = deque()
@@ -33,7 +33,7 @@
         self.requests.append(now)
 
     def may_retry(self, limits: RetryLimits, entries: int, now: float) -> bool:
-        """Tell whether a retry fits now, and count it if so."""
+        """Return whether a retry is within the budget, and count it if so."""
         _drop_before(self.requests, now - limits.window)
         _drop_before(self.retries, now - limits.window)
         earned = limits.ratio * len(self.requests) + limits.slack / max(1, entries)
--- a/libs/admission/src/clementinebend_admission/state.py
+++ b/libs/admission/src/clementinebend_admission/state.py
@@ -1,4 +1,4 @@
-"""The state of admission, and what does not decide anything by itself."""
+"""The state of admission, with helpers to query and update it."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class Running(NamedTuple):
-    """A request that holds capacity, and what its team was charged for it."""
+    """A request that holds capacity, and the tokens charged to its team for it."""
 
     arrival: Arrival
     started_at: float
@@ -20,13 +20,13 @@
 
 
 class AdmissionState(NamedTuple):
-    """All that admission knows.
+    """The whole state of admission.
 
     ``backlogged`` holds the teams with requests waiting, ``team_by_request`` the
     team of each waiting request, ``overdue`` the requests that waited past their
     deadline and are still to be refused by ``expire``, and ``floor`` the
-    counter of the last team whose queue became empty. Waiting requests number
-    at most twice ``queue_limit``.
+    highest counter of a team that had nothing left waiting after a start. At most
+    twice ``queue_limit`` requests wait.
     """
 
     capacity: Capacity
@@ -48,7 +48,7 @@
     tokens: int | None = None,
     queue_limit: int = DEFAULT_QUEUE_LIMIT,
 ) -> AdmissionState:
-    """Return admission before the first request."""
+    """Return the state before the first request."""
     return AdmissionState(Capacity(slots, tokens), queue_limit, {}, {}, {}, {}, {})
 
 
@@ -58,7 +58,7 @@
 
 
 def is_known(state: AdmissionState, request: str) -> bool:
-    """Tell whether the request waits, runs, or is still to be refused."""
+    """Return whether the request waits, runs, or is still to be refused."""
     return (
         request in state.team_by_request
         or request in state.running
@@ -67,9 +67,9 @@
 
 
 def has_capacity(state: AdmissionState, arrival: Arrival) -> bool:
-    """Tell whether capacity is free for the request.
+    """Return whether there is free capacity for the request.
 
-    One that is larger than the whole capacity runs when it is alone.
+    A request above the token capacity can run while no other request runs.
     """
     capacity = state.capacity
     if len(state.running) >= capacity.slots:
@@ -80,7 +80,7 @@
 
 
 def next_waiting(state: AdmissionState, now: float) -> Arrival | None:
-    """Return the request whose turn it is, setting overdue ones aside."""
+    """Return the next request to start, marking overdue ones as such."""
     while (name := next_team(state.teams, state.backlogged)) is not None:
         arrival = next_arrival(state.teams[name])
         if arrival is None:
@@ -92,13 +92,13 @@
 
 
 def mark_overdue(state: AdmissionState, arrival: Arrival) -> None:
-    """Set a waiting request aside for ``expire`` to refuse."""
+    """Move a waiting request to ``overdue``, for ``expire`` to refuse."""
     remove(state, arrival.request)
     state.overdue[arrival.request] = arrival
 
 
 def remove(state: AdmissionState, request: str) -> None:
-    """Take a request out of its team's queue, if it waits."""
+    """Remove a request from its team's queue if it is waiting."""
     name = state.team_by_request.pop(request, None)
     if name is None:
         return
@@ -109,7 +109,7 @@
 
 
 def waiting(state: AdmissionState) -> Iterator[Arrival]:
-    """Return the requests that wait."""
+    """Return the waiting requests of all teams."""
     return (
         arrival
         for name in state.backlogged
--- a/libs/admission/src/clementinebend_admission/teams.py
+++ b/libs/admission/src/clementinebend_admission/teams.py
@@ -1,10 +1,10 @@
-"""Virtual token counters: who is served next.
+"""Virtual token counters, which determine the team to serve next.
 
 Source: Sheng et al., "Fairness in Serving Large Language Models" (OSDI 2024).
 A team's counter is the tokens served to it, divided by its weight. The
-backlogged team with the least counter is served next. A team that comes back
-from idleness is lifted to the least counter among the backlogged ones, so it
-can neither save up service nor be punished for use that hurt nobody.
+backlogged team with the lowest counter is served next. When a team that has
+nothing waiting sends a request, its counter is raised to at least the lowest
+counter of the backlogged teams, so that it cannot accumulate service while idle.
 """
 
 from heapq import heappop, heappush
@@ -13,13 +13,13 @@
 from clementinebend_admission.models import Arrival
 
 USED_SHARE_SMOOTHING = 0.1
-"""Weight of the newest request in a team's share of its upper bounds used."""
+"""Weight of the newest request in the moving average ``used_share``."""
 
 MIN_WEIGHT = 1e-6
 
 
 class QueuedArrival(NamedTuple):
-    """Order in a team's queue: priority, then order of arrival."""
+    """A queued request; ``order`` is its priority, then its sequence number."""
 
     order: tuple[int, int]
     arrival: Arrival
@@ -28,9 +28,9 @@
 class TeamState(NamedTuple):
     """Counter and queue of one team.
 
-    ``queue`` is a heap that may hold requests that have left; ``waiting`` maps
-    those that are truly there. ``used_share`` is the part of its upper bounds
-    that the team's requests use on average.
+    ``queue`` is a heap that may still hold removed requests; ``waiting`` holds the
+    requests actually queued. ``used_share`` is the moving average of the fraction
+    of their upper bounds that the team's requests use.
     """
 
     weight: float
@@ -43,19 +43,19 @@
 
 
 def new_team(weight: float, counter: float) -> TeamState:
-    """Return a team with nothing queued."""
+    """Return a team with an empty queue."""
     return TeamState(max(MIN_WEIGHT, weight), counter, [], {})
 
 
 def enqueue(team: TeamState, arrival: Arrival, sequence: int) -> TeamState:
-    """Put a request into the team's queue."""
+    """Add a request to the team's queue."""
     heappush(team.queue, QueuedArrival((arrival.priority, sequence), arrival))
     team.waiting[arrival.request] = arrival
     return team._replace(waiting_tokens=team.waiting_tokens + arrival.tokens)
 
 
 def dequeue(team: TeamState, request: str) -> TeamState:
-    """Take a request out of the team's queue."""
+    """Remove a request from the team's queue."""
     arrival = team.waiting.pop(request)
     if not team.waiting:
         team.queue.clear()
@@ -63,24 +63,24 @@
 
 
 def next_arrival(team: TeamState) -> Arrival | None:
-    """Return the request that the team runs next."""
+    """Return the first request in the team's queue, or None if it is empty."""
     while team.queue and team.queue[0].arrival.request not in team.waiting:
         heappop(team.queue)
     return team.queue[0].arrival if team.queue else None
 
 
 def charge(team: TeamState, tokens: float) -> TeamState:
-    """Return the team with ``tokens`` served more; negative ones are given back."""
+    """Return the team charged for ``tokens``; a negative number is a refund."""
     return team._replace(counter=team.counter + tokens / team.weight)
 
 
 def raise_counter(team: TeamState, floor: float) -> TeamState:
-    """Return the team with its counter not below ``floor``."""
+    """Return the team with its counter raised to at least ``floor``."""
     return team._replace(counter=max(team.counter, floor))
 
 
 def update_used_share(team: TeamState, bound: int, tokens: int) -> TeamState:
-    """Return the team with one more sample of the share of a bound it used."""
+    """Return the team with ``used_share`` updated by a finished request."""
     share = min(1.0, tokens / max(1, bound))
     return team._replace(
         used_share=team.used_share + USED_SHARE_SMOOTHING * (share - team.used_share)
@@ -88,7 +88,7 @@
 
 
 def next_team(teams: dict[str, TeamState], backlogged: dict[str, None]) -> str | None:
-    """Return the backlogged team with the least counter, first come first."""
+    """Return the team with the lowest counter; the first backlogged wins a tie."""
     return min(backlogged, key=lambda name: teams[name].counter, default=None)
 
 
@@ -97,8 +97,9 @@
 ) -> float:
     """Return the queued tokens that are served before ``arrival``.
 
-    Of its own team these are all that go before it or along with it; of another one
-    what that team may be served until its counter is level with this team's.
+    From its own team these are all requests of the same or a more urgent priority;
+    from another team, what is served until its counter reaches the counter that
+    this team will have by then.
     """
     own = teams[arrival.team]
     ahead = float(
--- a/libs/admission/src/clementinebend_admission/waiting.py
+++ b/libs/admission/src/clementinebend_admission/waiting.py
@@ -1,13 +1,13 @@
-"""Which waiting prompt is sent next, and which is turned away. Pure.
+"""Scheduling of waiting prompts: which is sent next, and which is refused. No I/O.
 
-Load pattern: bursts of three to four times the usual load while a part of the pool
-is dark or slow. Endpoints that queue first come, first served then give every first
-token late, up to the moment at which callers leave. So prompts wait here, and
-endpoints' own queues are kept short: those that can still be on time go first, the
-others use what is left while their callers are there. What cannot start before its
-caller leaves is refused at once.
+Designed for bursts of three to four times the usual load while a part of the pool
+is unreachable or slow. Endpoints that queue first come, first served then deliver
+every first token late, up to the time at which callers give up. So prompts wait
+here, and the endpoints' own queues are kept short: prompts that can still meet their
+latency target go first, and the others use the remaining capacity until their
+callers give up. A prompt that cannot start before then is refused at once.
 
-Times are in seconds on the steady clock, amounts in tokens.
+Times are in seconds on a monotonic clock, amounts in tokens.
 """
 
 from collections.abc import Iterable
@@ -15,39 +15,39 @@
 from typing import NamedTuple
 
 MAX_AHEAD_FRACTION = 0.4
-"""Part of the shortest latency target that the prompts ahead of a new one may take at
-its endpoint; the rest is for the prompt itself and for the way there."""
+"""Fraction of the shortest latency target that the prompts ahead of a new one may take
+at its endpoint; the rest is for the prompt itself and for the network."""
 
 ON_TIME_WAIT_FRACTION = 0.25
-"""Part of a latency target that a prompt may wait here and still be on time: what is
-ahead of it at its endpoint, and reading it, take the rest."""
+"""Fraction of a latency target that a prompt may wait here and still be on time: the
+prompts ahead of it at its endpoint and its own prefill take the rest."""
 
 MIN_PATIENCE = 2.0
 PATIENCE_IN_LATENCY_TARGETS = 4.0
-"""A caller leaves a stream that gives no event for the longest of these: seconds, and
-latency targets."""
+"""Callers abandon a stream without events after ``MIN_PATIENCE`` seconds or after this
+many latency targets, whichever is longer."""
 
 MAX_WAIT_FRACTION = 0.5
-"""Part of a caller's patience that a prompt may wait here; the rest is for reading
-it, and for the way back."""
+"""Fraction of a caller's patience that a prompt may wait here; the rest is for its
+prefill and for the response."""
 
 RATE_TIME_CONSTANT = 2.0
-"""Time constant of the rate at which prompts start: shorter than a burst, longer
-than the gaps between first tokens."""
+"""Time constant, in seconds, of the moving average of the start rate: shorter than a
+burst, longer than the gaps between first tokens."""
 
 MIN_RETRY_AFTER, MAX_RETRY_AFTER = 0.5, 5.0
-"""Bounds of the seconds after which a refused caller is to come back: one that is told
-more may not wait so long, and one that is told less meets the same queue."""
+"""Bounds of the retry time in seconds, before jitter: callers may not wait for a longer
+one, and after a shorter one they would find the same queue."""
 
 RETRY_JITTER = 0.5
-"""Part by which times to come back are spread, so that returns don't come together."""
+"""Maximum jitter as a fraction of a retry time, so that retries do not coincide."""
 
 
 class WaitingPrompt(NamedTuple):
-    """A prompt that waits for an endpoint with little ahead.
+    """A prompt that waits for an endpoint with a short queue.
 
-    ``on_time_deadline`` is when it must start to be on time, ``wait_deadline`` is when
-    it is turned away. ``priority`` is 0 for the most urgent.
+    To meet its latency target it must start by ``on_time_deadline``; if it has not
+    started by ``wait_deadline``, it is refused. The most urgent ``priority`` is 0.
     """
 
     request: str
@@ -59,7 +59,7 @@
 
 
 class StartRate(NamedTuple):
-    """Tokens of prompts that start in a second, as seen lately."""
+    """Moving average of the prompt tokens started per second."""
 
     tokens: float = 0.0
     updated_at: float = 0.0
@@ -68,7 +68,7 @@
 def new_waiting_prompt(
     request: str, priority: int, tokens: int, latency_target: float, now: float
 ) -> WaitingPrompt:
-    """Return a prompt that has come now."""
+    """Return a prompt that arrives at ``now``, with its deadlines."""
     patience = max(MIN_PATIENCE, PATIENCE_IN_LATENCY_TARGETS * latency_target)
     return WaitingPrompt(
         request,
@@ -81,21 +81,21 @@
 
 
 def next_prompt(waiting: Iterable[WaitingPrompt], now: float) -> WaitingPrompt | None:
-    """Return which prompt starts when there is room for one.
+    """Return the prompt to start next, or None if none waits.
 
-    Those that can still be on time go first, the most urgent first among them and
-    then the one that has least time left. The others follow in the same order.
+    Prompts that can still be on time go first, ordered by priority and then by
+    deadline. The late ones follow in the same order.
     """
     return min(waiting, key=lambda prompt: _sort_key(prompt, now), default=None)
 
 
 def record_started_prompt(rate: StartRate, tokens: int, now: float) -> StartRate:
-    """Count a prompt that has started."""
+    """Return the rate updated with a prompt that has started."""
     return StartRate(current_rate(rate, now) + tokens / RATE_TIME_CONSTANT, now)
 
 
 def current_rate(rate: StartRate, now: float) -> float:
-    """Return the tokens of prompts that start in a second, as seen now."""
+    """Return the prompt tokens started per second, decayed to ``now``."""
     return rate.tokens * exp(-max(0.0, now - rate.updated_at) / RATE_TIME_CONSTANT)
 
 
@@ -105,7 +105,7 @@
     rate: StartRate,
     now: float,
 ) -> float:
-    """Return the seconds until ``prompt`` starts, with those that go before it."""
+    """Return the seconds until the prompts that go before ``prompt`` have started."""
     order = _sort_key(prompt, now)
     before = sum(other.tokens for other in waiting if _sort_key(other, now) < order)
     if not before:
@@ -114,14 +114,15 @@
 
 
 def can_start_in_time(prompt: WaitingPrompt, wait: float, now: float) -> bool:
-    """Tell whether a prompt starts before it would be turned away."""
+    """Return whether a prompt can start before its wait deadline."""
     return now + wait < prompt.wait_deadline
 
 
 def retry_after_seconds(wait: float, draw: float) -> float:
-    """Return after how many seconds a refused caller will find room.
+    """Return the seconds after which a refused caller should retry.
 
-    ``wait`` is how long the queue is now; ``draw`` from 0 to 1 spreads the returns.
+    ``wait`` is the expected wait in the queue; ``draw``, a random number from 0 to 1,
+    sets the jitter.
     """
     spread = 1 + RETRY_JITTER * draw
     return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait) * spread)
