--- a/tests/unit/admission/test_fairness.py
+++ b/tests/unit/admission/test_fairness.py
@@ -11,7 +11,7 @@
 FUZZ = environ.get("CLEMENTINEBEND_FUZZ") == "1"
 LARGEST = 100
 ROUNDS = 300
-NEVER = 1e9
+NO_DEADLINE = 1e9
 
 
 def served_by_team(
@@ -25,10 +25,10 @@
         for team, weight in weights.items():
             bounds, _ = costs[team]
             bound = bounds[number % len(bounds)]
-            arrival = Arrival(f"{team}/{number}", team, weight, 0, bound, NEVER)
-            state, verdict = arrive(state, arrival, float(number))
-            if isinstance(verdict, Admitted):
-                running.append(verdict.request)
+            arrival = Arrival(f"{team}/{number}", team, weight, 0, bound, NO_DEADLINE)
+            state, outcome = arrive(state, arrival, float(number))
+            if isinstance(outcome, Admitted):
+                running.append(outcome.request)
     for _ in range(ROUNDS // 2):
         request = running.pop(0)
         team, _, number_text = request.partition("/")
--- a/tests/unit/admission/test_queue.py
+++ b/tests/unit/admission/test_queue.py
@@ -39,24 +39,24 @@
     assert started == (Admitted("high"),)
 
 
-def test_refuses_at_the_door_what_cannot_start_in_time() -> None:
+def test_refuses_on_arrival_what_cannot_start_in_time() -> None:
     state = empty_admission(slots=1)
     state, _ = arrive(state, arrival("a"), 0.0)
     state, _ = finish(state, "a", 100, 4.0)
     state, _ = arrive(state, arrival("b"), 4.0)
     state, _ = arrive(state, arrival("c"), 4.0)
-    state, verdict = arrive(state, arrival("d", deadline=9.0), 4.0)
-    assert isinstance(verdict, Refused)
-    assert verdict.reason is NotRun.DEADLINE
-    assert 3_000 <= verdict.retry_after_ms <= 4_500
+    state, outcome = arrive(state, arrival("d", deadline=9.0), 4.0)
+    assert isinstance(outcome, Refused)
+    assert outcome.reason is NotRun.DEADLINE
+    assert 3_000 <= outcome.retry_after_ms <= 4_500
 
 
-def test_refuses_at_the_door_while_there_is_no_capacity() -> None:
+def test_refuses_on_arrival_while_there_is_no_capacity() -> None:
     state = empty_admission(slots=0)
-    _, verdict = arrive(state, arrival("a"), 0.0)
-    assert isinstance(verdict, Refused)
-    assert verdict.reason is NotRun.NO_ENDPOINT
-    assert verdict.retry_after_ms >= 1_000
+    _, outcome = arrive(state, arrival("a"), 0.0)
+    assert isinstance(outcome, Refused)
+    assert outcome.reason is NotRun.NO_ENDPOINT
+    assert outcome.retry_after_ms >= 1_000
 
 
 def test_full_queue_still_takes_a_small_team() -> None:
@@ -100,7 +100,7 @@
     assert [one.request for one in expire(state, 2.0)[1]] == ["late"]
 
 
-def test_an_idle_team_saves_up_no_service() -> None:
+def test_an_idle_team_accumulates_no_service() -> None:
     state = empty_admission(slots=1)
     state, _ = arrive(state, arrival("idle0", "idle"), 0.0)
     state, _ = finish(state, "idle0", 100, 1.0)
--- a/tests/unit/admission/test_stateful_queue.py
+++ b/tests/unit/admission/test_stateful_queue.py
@@ -46,21 +46,21 @@
         self.waiting: dict[str, Arrival] = {}
         self.running: dict[str, Arrival] = {}
         self.refused: set[str] = set()
-        self.left: set[str] = set()
+        self.cancelled: set[str] = set()
 
     @rule(team=teams, priority=st.integers(0, 2), size=tokens, patience=st.floats(0, 9))
     def arrive(self, team: str, priority: int, size: int, patience: float) -> None:
         request = f"r{len(self.arrivals)}"
         arrival = Arrival(request, team, 1.0, priority, size, self.now + patience)
         self.arrivals[request] = arrival
-        self.state, verdict = arrive(self.state, arrival, self.now)
-        if isinstance(verdict, Queued):
+        self.state, outcome = arrive(self.state, arrival, self.now)
+        if isinstance(outcome, Queued):
             self.waiting[request] = arrival
-        elif isinstance(verdict, Refused):
-            self.note_refused((verdict,))
+        elif isinstance(outcome, Refused):
+            self.record_refused((outcome,))
         else:
             self.waiting[request] = arrival
-            self.note_admitted((verdict,))
+            self.record_admitted((outcome,))
 
     @rule(data=st.data(), share=st.floats(0, 1))
     def finish(self, data: Any, share: float) -> None:
@@ -69,7 +69,7 @@
         request = data.draw(st.sampled_from(sorted(self.running)))
         used = int(self.running.pop(request).tokens * share)
         self.state, admitted = finish(self.state, request, used, self.now)
-        self.note_admitted(admitted)
+        self.record_admitted(admitted)
 
     @rule(data=st.data())
     def cancel(self, data: Any) -> None:
@@ -79,22 +79,22 @@
         request = data.draw(st.sampled_from(known))
         self.running.pop(request, None)
         self.waiting.pop(request, None)
-        self.left.add(request)
+        self.cancelled.add(request)
         self.state, admitted = cancel(self.state, request, self.now)
-        self.note_admitted(admitted)
+        self.record_admitted(admitted)
 
     @rule()
     def expire(self) -> None:
         late = {name for name, one in self.waiting.items() if one.deadline <= self.now}
         self.state, refused = expire(self.state, self.now)
         assert late <= {one.request for one in refused}
-        self.note_refused(refused)
+        self.record_refused(refused)
 
     @rule(slots=st.integers(0, 4))
     def change_capacity(self, slots: int) -> None:
         self.slots = slots
         self.state, admitted = set_capacity(self.state, slots, TOKENS, self.now)
-        self.note_admitted(admitted)
+        self.record_admitted(admitted)
 
     @rule(seconds=st.floats(0.01, 5))
     def pass_time(self, seconds: float) -> None:
@@ -105,12 +105,12 @@
         assert waiting_count(self.state) <= 2 * QUEUE_LIMIT
 
     @invariant()
-    def nobody_waits_beside_an_idle_fleet(self) -> None:
+    def no_request_in_time_waits_while_the_fleet_is_idle(self) -> None:
         in_time = [one for one in self.waiting.values() if one.deadline > self.now]
         assert not (in_time and self.slots and not self.running)
 
     @invariant()
-    def every_arrival_is_in_one_place(self) -> None:
+    def every_request_has_one_state(self) -> None:
         assert set(self.state.running) == set(self.running)
         kept = set(self.state.team_by_request) | set(self.state.overdue)
         assert kept == set(self.waiting)
@@ -121,20 +121,20 @@
             self.state, admitted = finish(self.state, request, 1, self.now)
             assert admitted == ()
         self.state, refused = expire(self.state, self.now)
-        self.note_refused(refused)
+        self.record_refused(refused)
         assert not self.waiting
 
-    def note_admitted(self, admitted: tuple[Admitted, ...]) -> None:
+    def record_admitted(self, admitted: tuple[Admitted, ...]) -> None:
         for one in admitted:
             arrival = self.waiting.pop(one.request)
             assert arrival.deadline > self.now
             assert len(self.running) < self.slots
             self.running[one.request] = arrival
 
-    def note_refused(self, refused: tuple[Refused, ...]) -> None:
+    def record_refused(self, refused: tuple[Refused, ...]) -> None:
         for one in refused:
             assert one.request not in self.running
-            assert one.request not in self.refused | self.left
+            assert one.request not in self.refused | self.cancelled
             assert MIN_RETRY_AFTER_MS <= one.retry_after_ms <= MAX_RETRY_AFTER_MS
             self.waiting.pop(one.request, None)
             self.refused.add(one.request)
--- a/tests/unit/admission/test_waiting.py
+++ b/tests/unit/admission/test_waiting.py
@@ -20,7 +20,7 @@
 )
 
 TARGET = 0.5
-READ_PER_SECOND = 60_000
+PREFILL_TOKENS_PER_SECOND = 60_000
 """Tokens of prompts that the replayed endpoint reads in a second."""
 
 
@@ -40,13 +40,13 @@
     assert next_prompt([other, urgent], 1.0) is urgent
 
 
-def test_of_equal_ones_that_with_least_time_left_goes_first() -> None:
+def test_the_earliest_deadline_goes_first_within_a_priority() -> None:
     earlier, later = prompt("earlier", now=0.0), prompt("later", now=0.1)
     assert next_prompt([later, earlier], 0.1) is earlier
     assert next_prompt([], 0.0) is None
 
 
-def test_a_wait_is_worked_out_from_what_goes_before_and_how_fast_it_starts() -> None:
+def test_expected_wait_depends_on_tokens_ahead_and_start_rate() -> None:
     rate = record_started_prompt(StartRate(), 10_000, 0.0)
     ahead = [prompt("a", 0), prompt("b", 0), prompt("behind", 2)]
     wait = expected_wait(prompt("new"), ahead, rate, 0.0)
@@ -54,20 +54,20 @@
     assert expected_wait(prompt("new", 0), [], rate, 0.0) == 0.0
 
 
-def test_what_cannot_start_in_time_is_known_at_once() -> None:
+def test_a_prompt_that_cannot_start_in_time_is_detected() -> None:
     new = prompt("new")
     assert can_start_in_time(new, 0.5, 0.0)
     assert not can_start_in_time(new, 3.0, 0.0)
 
 
 @given(floats(0, 1e6), floats(0, 1))
-def test_callers_are_told_to_return_within_bounds(wait: float, draw: float) -> None:
+def test_retry_times_are_within_bounds(wait: float, draw: float) -> None:
     assert (
         0.5 <= retry_after_seconds(wait, draw) <= MAX_RETRY_AFTER * (1 + RETRY_JITTER)
     )
 
 
-def on_time(in_order: bool) -> tuple[int, int]:
+def count_served_in_burst(is_prioritized: bool) -> tuple[int, int]:
     """Replay a burst of three times what an endpoint reads, for four seconds.
 
     Returns how many of the prompts were on time, and how many were started later
@@ -76,28 +76,28 @@
     random = Random(7)
     arrivals = sorted(random.uniform(0, 4) for _ in range(720))
     waiting: list[WaitingPrompt] = []
-    in_time = left = 0
+    in_time = abandoned = 0
     now = 0.0
     while arrivals or waiting:
         while arrivals and arrivals[0] <= now:
             at = arrivals.pop(0)
             waiting.append(prompt(f"{at}", random.randrange(3), at))
-        if in_order:
+        if is_prioritized:
             waiting = [each for each in waiting if now < each.wait_deadline]
         if not waiting:
             now = arrivals[0] if arrivals else now
             continue
-        first = next_prompt(waiting, now) if in_order else waiting[0]
+        first = next_prompt(waiting, now) if is_prioritized else waiting[0]
         assert first is not None
         waiting.remove(first)
-        now += first.tokens / READ_PER_SECOND
+        now += first.tokens / PREFILL_TOKENS_PER_SECOND
         in_time += now - first.arrived <= TARGET
-        left += now - first.arrived > 2.0
-    return in_time, left
+        abandoned += now - first.arrived > 2.0
+    return in_time, abandoned
 
 
-def test_in_a_burst_more_are_on_time_and_nobody_starts_after_the_caller_left() -> None:
-    ordered, ordered_left = on_time(in_order=True)
-    queued, queued_left = on_time(in_order=False)
-    assert ordered > 2 * queued
-    assert ordered_left == 0 < queued_left
+def test_priorities_in_a_burst_keep_more_on_time_and_start_none_too_late() -> None:
+    prioritized, prioritized_abandoned = count_served_in_burst(is_prioritized=True)
+    fifo, fifo_abandoned = count_served_in_burst(is_prioritized=False)
+    assert prioritized > 2 * fifo
+    assert prioritized_abandoned == 0 < fifo_abandoned
