--- a/tests/unit/relay/test_attempts.py
+++ b/tests/unit/relay/test_attempts.py
@@ -23,8 +23,8 @@
 class FakeDispatcher:
     """Endpoints that fare as told, one after the other."""
 
-    def __init__(self, fates: list[Verdict | None]) -> None:
-        self.fates = fates
+    def __init__(self, outcomes: list[Verdict | None]) -> None:
+        self.outcomes = outcomes
         self.endpoints = SimpleNamespace(drop=lambda *args: None)
         self.retries = 0
 
@@ -45,11 +45,11 @@
         yield
 
     async def open(self, admitted: Admitted, state: Any, *times: Any) -> Any:
-        fate = self.fates.pop(0)
-        if fate is None:
+        outcome = self.outcomes.pop(0)
+        if outcome is None:
             return NotSent("nobody listens")
         answer = SimpleNamespace(status=200, close=lambda: None)
-        return ResponseStarted(state, answer, fate)  # type: ignore[arg-type]
+        return ResponseStarted(state, answer, outcome)  # type: ignore[arg-type]
 
 
 def progress(max_attempts: int) -> CallProgress:
@@ -62,24 +62,26 @@
     return Attempts(dispatcher, news, lambda: 0.0)  # type: ignore[arg-type]
 
 
-async def test_an_endpoint_that_has_ended_is_no_attempt() -> None:
+async def test_an_ended_endpoint_does_not_count_as_attempt() -> None:
     dispatcher = FakeDispatcher([Verdict.WRONG_ENDPOINT, None, Verdict.SUCCESS])
-    made = progress(max_attempts=1)
-    assert await attempts(dispatcher).next(made) is not None
-    assert made.attempts == 1
-    assert made.tried == ["e0", "e1", "e2"]
+    call_progress = progress(max_attempts=1)
+    assert await attempts(dispatcher).next(call_progress) is not None
+    assert call_progress.attempts == 1
+    assert call_progress.tried == ["e0", "e1", "e2"]
 
 
-async def test_what_an_ended_endpoint_was_sent_draws_on_the_retry_budget() -> None:
+async def test_a_call_sent_to_an_ended_endpoint_uses_the_retry_budget() -> None:
     dispatcher = FakeDispatcher([None, Verdict.WRONG_ENDPOINT, Verdict.SUCCESS])
     assert await attempts(dispatcher).next(progress(max_attempts=1)) is not None
     assert dispatcher.retries == 1
 
 
-async def test_a_call_is_given_up_after_some_endpoints_that_are_not_there() -> None:
-    fates: list[Verdict | None] = [Verdict.WRONG_ENDPOINT] * (MAX_MISSING_ENDPOINTS + 1)
-    dispatcher = FakeDispatcher(fates)
-    made = progress(max_attempts=2)
-    assert await attempts(dispatcher).next(made) is None
-    assert len(made.tried) == MAX_MISSING_ENDPOINTS
-    assert not made.may_have_run
+async def test_a_call_is_abandoned_after_too_many_missing_endpoints() -> None:
+    outcomes: list[Verdict | None] = [Verdict.WRONG_ENDPOINT] * (
+        MAX_MISSING_ENDPOINTS + 1
+    )
+    dispatcher = FakeDispatcher(outcomes)
+    call_progress = progress(max_attempts=2)
+    assert await attempts(dispatcher).next(call_progress) is None
+    assert len(call_progress.tried) == MAX_MISSING_ENDPOINTS
+    assert not call_progress.may_have_run
--- a/tests/unit/relay/test_bounds.py
+++ b/tests/unit/relay/test_bounds.py
@@ -9,7 +9,7 @@
 from clementinebend_transport.http_client import OpenAnswer
 
 
-class Closed:
+class CloseRecorder:
     """Notes that an answer was closed."""
 
     def __init__(self) -> None:
@@ -19,51 +19,58 @@
         self.is_closed = True
 
 
-async def pieces(*parts: bytes) -> AsyncIterator[bytes]:
+async def yield_chunks(*parts: bytes) -> AsyncIterator[bytes]:
     """Yield the parts of an answer."""
     for part in parts:
         yield part
 
 
-async def broken() -> AsyncIterator[bytes]:
+async def truncated_chunks() -> AsyncIterator[bytes]:
     """Yield a piece, and end as a connection does that breaks off."""
     yield b"half"
     raise TruncatedAnswer("gone")
 
 
-async def slow() -> AsyncIterator[bytes]:
+async def stalled_chunks() -> AsyncIterator[bytes]:
     """Yield a piece, and no other."""
     yield b"half"
     await sleep(60)
 
 
-def answer(chunks: AsyncIterator[bytes], on_close: Closed) -> OpenAnswer:
+def answer(chunks: AsyncIterator[bytes], on_close: CloseRecorder) -> OpenAnswer:
     """Return an open answer with a body."""
     return OpenAnswer(200, {}, chunks, on_close)
 
 
 async def test_a_body_is_read_up_to_its_bound() -> None:
-    closed = Closed()
-    body = await read_body(answer(pieces(b"ab", b"cd"), closed), later(), 4)
+    recorder = CloseRecorder()
+    body = await read_body(
+        answer(yield_chunks(b"ab", b"cd"), recorder), distant_deadline(), 4
+    )
     assert body.ok == b"abcd"
-    assert not closed.is_closed
+    assert not recorder.is_closed
 
 
 async def test_a_body_above_its_bound_is_refused_and_closed() -> None:
-    closed = Closed()
-    body = await read_body(answer(pieces(b"ab", b"cde"), closed), later(), 4)
+    recorder = CloseRecorder()
+    body = await read_body(
+        answer(yield_chunks(b"ab", b"cde"), recorder), distant_deadline(), 4
+    )
     assert "larger than 4 bytes" in body.error.problem
     assert not body.error.broke_off
-    assert closed.is_closed
+    assert recorder.is_closed
 
 
 async def test_a_body_that_breaks_off_or_is_late_is_closed() -> None:
-    cases = ((broken(), later(), True), (slow(), later() - 9.99, False))
+    cases = (
+        (truncated_chunks(), distant_deadline(), True),
+        (stalled_chunks(), distant_deadline() - 9.99, False),
+    )
     for chunks, deadline, broke_off in cases:
-        closed = Closed()
-        body = await read_body(answer(chunks, closed), deadline, 100)
+        recorder = CloseRecorder()
+        body = await read_body(answer(chunks, recorder), deadline, 100)
         assert body.error.broke_off is broke_off
-        assert closed.is_closed
+        assert recorder.is_closed
 
 
 def test_an_event_that_does_not_end_is_too_large() -> None:
@@ -74,6 +81,6 @@
     assert not splitter.is_too_large()
 
 
-def later() -> float:
+def distant_deadline() -> float:
     """Return a time of the loop that is far enough away."""
     return get_running_loop().time() + 10
--- a/tests/unit/relay/test_progress.py
+++ b/tests/unit/relay/test_progress.py
@@ -13,23 +13,23 @@
 
 
 def test_a_call_of_which_nothing_was_delivered_costs_nothing() -> None:
-    made = progress()
-    made.may_have_run = True
-    assert made.usage().tokens == 0
+    call_progress = progress()
+    call_progress.may_have_run = True
+    assert call_progress.usage().tokens == 0
 
 
 @pytest.mark.parametrize(("events", "tokens"), [(1, 103), (4, 112), (50, 130)])
 def test_a_stream_costs_its_prompt_and_its_events(events: int, tokens: int) -> None:
-    made = progress()
-    made.may_have_run = True
-    made.events = events
-    assert made.usage().tokens == tokens
+    call_progress = progress()
+    call_progress.may_have_run = True
+    call_progress.events = events
+    assert call_progress.usage().tokens == tokens
 
 
 def test_a_whole_answer_without_events_costs_the_most() -> None:
-    made = progress(RouteKind.IDEMPOTENT)
-    made.is_whole = True
-    assert made.usage().tokens == CALL.max_total_tokens
+    call_progress = progress(RouteKind.IDEMPOTENT)
+    call_progress.is_whole = True
+    assert call_progress.usage().tokens == CALL.max_total_tokens
 
 
 @pytest.mark.parametrize(
@@ -42,12 +42,12 @@
         (True, 1, 10.0, Reason.TIMEOUT_MAY_HAVE_RUN),
     ],
 )
-def test_only_what_cannot_have_run_is_told_as_not_run(
+def test_only_a_call_that_cannot_have_run_is_reported_as_not_run(
     may_have_run: bool, attempts: int, now: float, reason: Reason
 ) -> None:
-    made = progress()
-    made.may_have_run = may_have_run
-    made.attempts = attempts
-    rejection = made.rejection(now)
+    call_progress = progress()
+    call_progress.may_have_run = may_have_run
+    call_progress.attempts = attempts
+    rejection = call_progress.rejection(now)
     assert rejection.reason is reason
     assert (rejection.retry_after is None) == may_have_run
--- a/tests/unit/relay/test_prompt_queues.py
+++ b/tests/unit/relay/test_prompt_queues.py
@@ -14,11 +14,11 @@
 from tests.unit.relay import calls
 from tests.unit.relay.calls import CALL
 
-PATIENCE_HERE = 1.0
+MAX_WAIT = 1.0
 """Half of the two seconds for which a caller stays without an event."""
 
 
-class Ahead:
+class FakeDispatcher:
     """A dispatcher that knows how many seconds lie ahead of a prompt."""
 
     def __init__(self, seconds: float | None) -> None:
@@ -34,66 +34,69 @@
     return calls.admitted(calls.route(RouteKind.STREAM, priority=priority), call)
 
 
-def room_before(ahead: Ahead) -> PromptQueues:
+def create_queues(ahead: FakeDispatcher) -> PromptQueues:
     return PromptQueues(cast(Dispatcher, ahead), get_running_loop().time)
 
 
-def test_a_call_goes_at_once_where_little_or_nothing_known_lies_ahead() -> None:
+def test_a_call_starts_at_once_if_the_queue_is_short_or_unknown() -> None:
     async def main() -> None:
         for seconds in (0.0, None):
-            room = room_before(Ahead(seconds))
-            assert isinstance(await room.enter(admitted("a")), Survey)
+            queues = create_queues(FakeDispatcher(seconds))
+            assert isinstance(await queues.enter(admitted("a")), Survey)
 
     run_virtually(main())
 
 
 def test_a_call_without_a_prompt_never_waits() -> None:
     async def main() -> None:
-        assert await room_before(Ahead(9.0)).enter(admitted("a", tokens=0)) is None
+        assert (
+            await create_queues(FakeDispatcher(9.0)).enter(admitted("a", tokens=0))
+            is None
+        )
 
     run_virtually(main())
 
 
-def test_a_waiting_call_goes_once_there_is_room_the_most_urgent_first() -> None:
+def test_waiting_calls_start_by_priority_once_the_queue_is_short() -> None:
     async def main() -> list[str]:
-        ahead = Ahead(9.0)
-        room = room_before(ahead)
-        went: list[str] = []
+        ahead = FakeDispatcher(9.0)
+        queues = create_queues(ahead)
+        started: list[str] = []
 
         async def enter(name: str, priority: int) -> None:
-            assert isinstance(await room.enter(admitted(name, priority)), Survey)
-            went.append(name)
+            assert isinstance(await queues.enter(admitted(name, priority)), Survey)
+            started.append(name)
 
         tasks = [create_task(enter("later", 2)), create_task(enter("urgent", 0))]
         await sleep(0.1)
-        assert went == []
+        assert started == []
         ahead.seconds = 0.0
         await gather(*tasks)
-        return went
+        return started
 
     assert run_virtually(main()) == ["urgent", "later"]
 
 
-def test_a_call_that_finds_no_room_is_refused_long_before_its_caller_leaves() -> None:
+def test_a_call_is_refused_at_its_wait_deadline() -> None:
     async def main() -> tuple[Survey | Rejection | None, float]:
-        room = room_before(Ahead(9.0))
-        outcome = await room.enter(admitted("a"))
-        return outcome, room.clock()
+        queues = create_queues(FakeDispatcher(9.0))
+        outcome = await queues.enter(admitted("a"))
+        return outcome, queues.clock()
 
     outcome, now = run_virtually(main())
     assert isinstance(outcome, Rejection)
     assert outcome.reason is Reason.OVERLOADED
     assert outcome.retry_after is not None and outcome.retry_after > 0
-    assert PATIENCE_HERE <= now < PATIENCE_HERE + 0.1
+    assert MAX_WAIT <= now < MAX_WAIT + 0.1
 
 
-def test_what_cannot_start_in_time_is_refused_at_once() -> None:
+def test_a_call_that_cannot_start_in_time_is_refused_at_once() -> None:
     async def main() -> tuple[Survey | Rejection | None, float]:
-        room = room_before(Ahead(9.0))
-        first = create_task(room.enter(admitted("first", 0, tokens=500_000)))
+        queues = create_queues(FakeDispatcher(9.0))
+        first = create_task(queues.enter(admitted("first", 0, tokens=500_000)))
         await sleep(0)
-        outcome = await room.enter(admitted("second"))
-        now = room.clock()
+        outcome = await queues.enter(admitted("second"))
+        now = queues.clock()
         first.cancel()
         return outcome, now
 
@@ -102,13 +105,13 @@
     assert now == 0.0
 
 
-def test_a_caller_that_leaves_waits_no_more() -> None:
+def test_a_cancelled_call_is_removed_from_the_queue() -> None:
     async def main() -> int:
-        room = room_before(Ahead(9.0))
-        task = create_task(room.enter(admitted("a")))
+        queues = create_queues(FakeDispatcher(9.0))
+        task = create_task(queues.enter(admitted("a")))
         await sleep(0.05)
         task.cancel()
         await gather(task, return_exceptions=True)
-        return len(room.waiters["pool"])
+        return len(queues.waiters["pool"])
 
     assert run_virtually(main()) == 0
--- a/tests/unit/relay/test_queue_probes.py
+++ b/tests/unit/relay/test_queue_probes.py
@@ -19,7 +19,7 @@
 from clementinebend_routing.sessions import PromptPart
 from clementinebend_transport.client_connection import Address
 
-WAY_SECONDS = 0.001
+NETWORK_DELAY = 0.001
 PARTS = (PromptPart("session", 4_000), PromptPart("own", 900))
 SENDER = Address("10.0.0.1", 1)
 
@@ -30,14 +30,14 @@
     )
 
 
-class World:
+class FakeFleet:
     """Some gateways, one beside each endpoint; those in ``dark`` keep silent."""
 
     def __init__(self, gateways: int, entries: int = 1) -> None:
         self.clock = get_running_loop().time
         self.gateways, self.entries = Directory(), Directory()
         self.keepers: dict[Address, QueueKeeper] = {}
-        self.dark: set[Address] = set()
+        self.unreachable: set[Address] = set()
         self.sent = 0
         for number in range(gateways):
             self.add(self.gateways, f"gateway-{number}", f"10.9.0.{number}")
@@ -52,34 +52,34 @@
 
     def send(self, message: Message, to: Address) -> None:
         self.sent += 1
-        if to not in self.dark and isinstance(message, QueueMessage):
-            later(lambda: self.keepers[to].on_message(message, SENDER))
+        if to not in self.unreachable and isinstance(message, QueueMessage):
+            deliver_later(lambda: self.keepers[to].on_message(message, SENDER))
 
     def answer(self, message: Message, to: Address) -> None:
         assert to == SENDER
         if isinstance(message, ReportMessage):
-            later(lambda: self.probes.on_report(message))
+            deliver_later(lambda: self.probes.on_report(message))
 
     def host(self, number: int) -> Address:
         return Address(f"10.9.0.{number}", 7)
 
 
-def later(deliver: Callable[[], None]) -> None:
-    get_running_loop().call_later(WAY_SECONDS, deliver)
+def deliver_later(deliver: Callable[[], None]) -> None:
+    get_running_loop().call_later(NETWORK_DELAY, deliver)
 
 
-def test_all_that_entries_tell_is_in_the_report() -> None:
+def test_a_report_includes_all_messages_of_entries() -> None:
     async def main() -> None:
-        world = World(3)
-        world.probes.on_sent(endpoint(1), "r", 1, 4_900, PARTS)
-        await sleep(2 * WAY_SECONDS)
-        reports = await world.probes.ask([endpoint(0), endpoint(1)], 1, PARTS)
+        fleet = FakeFleet(3)
+        fleet.probes.on_sent(endpoint(1), "r", 1, 4_900, PARTS)
+        await sleep(2 * NETWORK_DELAY)
+        reports = await fleet.probes.ask([endpoint(0), endpoint(1)], 1, PARTS)
         assert reports["e0"][:3] == (0, 0, 4_900)
         assert reports["e1"][:3] == (1, 4_900, 4_900)
-        world.probes.on_read(endpoint(1), "r")
-        world.probes.on_ended(endpoint(1), "r")
-        await sleep(2 * WAY_SECONDS)
-        reports = await world.probes.ask([endpoint(1)], 1, PARTS)
+        fleet.probes.on_read(endpoint(1), "r")
+        fleet.probes.on_ended(endpoint(1), "r")
+        await sleep(2 * NETWORK_DELAY)
+        reports = await fleet.probes.ask([endpoint(1)], 1, PARTS)
         assert reports["e1"][:3] == (0, 0, 0)
 
     run_virtually(main())
@@ -87,87 +87,87 @@
 
 def test_a_later_boot_of_an_endpoint_starts_with_an_empty_queue() -> None:
     async def main() -> None:
-        world = World(1)
-        world.probes.on_sent(endpoint(0)._replace(boot=1), "r", 1, 900, PARTS)
-        await sleep(2 * WAY_SECONDS)
+        fleet = FakeFleet(1)
+        fleet.probes.on_sent(endpoint(0)._replace(boot=1), "r", 1, 900, PARTS)
+        await sleep(2 * NETWORK_DELAY)
         later_boot = endpoint(0)._replace(boot=2)
-        reports = await world.probes.ask([later_boot], 1, ())
+        reports = await fleet.probes.ask([later_boot], 1, ())
         assert reports["e0"].running == 0
 
     run_virtually(main())
 
 
 @pytest.mark.parametrize(("gateways", "entries"), [(0, 4), (0, 400), (48, 4)])
-def test_an_endpoint_without_a_gateway_has_its_queue_where_all_find_it(
+def test_entries_agree_on_the_keeper_of_an_endpoint_without_a_gateway(
     gateways: int, entries: int
 ) -> None:
     async def main() -> None:
-        world = World(gateways, entries)
-        other = QueueProbes(world.gateways, world.entries, world.send, world.clock)
-        desk = endpoint(200)
-        other.on_sent(desk, "r", 1, 0, ())
-        await sleep(2 * WAY_SECONDS)
-        assert (await world.probes.ask([desk], 1, ()))["e200"].running == 1
+        fleet = FakeFleet(gateways, entries)
+        other = QueueProbes(fleet.gateways, fleet.entries, fleet.send, fleet.clock)
+        detached = endpoint(200)
+        other.on_sent(detached, "r", 1, 0, ())
+        await sleep(2 * NETWORK_DELAY)
+        assert (await fleet.probes.ask([detached], 1, ()))["e200"].running == 1
 
     run_virtually(main())
 
 
-def test_a_silent_keeper_costs_a_call_little_and_is_left_out_then() -> None:
+def test_a_silent_keeper_delays_a_call_briefly_and_is_then_skipped() -> None:
     async def main() -> None:
-        world = World(2)
-        world.dark = {world.host(0)}
+        fleet = FakeFleet(2)
+        fleet.unreachable = {fleet.host(0)}
         for _ in range(MAX_UNANSWERED):
-            started = world.clock()
-            reports = await world.probes.ask([endpoint(0), endpoint(1)], 1, PARTS)
+            started = fleet.clock()
+            reports = await fleet.probes.ask([endpoint(0), endpoint(1)], 1, PARTS)
             assert set(reports) == {"e1"}
-            assert world.clock() - started <= PROBE_TIMEOUT + 0.001
+            assert fleet.clock() - started <= PROBE_TIMEOUT + 0.001
             await sleep(0.05)
-        assert not world.probes.is_known(endpoint(0))
-        assert world.probes.is_known(endpoint(1))
-        world.dark = set()
+        assert not fleet.probes.is_known(endpoint(0))
+        assert fleet.probes.is_known(endpoint(1))
+        fleet.unreachable = set()
         await sleep(SUSPECTED_RETRY_SECONDS)
-        assert world.probes.is_known(endpoint(0))
-        assert "e0" in await world.probes.ask([endpoint(0)], 1, ())
-        assert world.probes.is_known(endpoint(0))
+        assert fleet.probes.is_known(endpoint(0))
+        assert "e0" in await fleet.probes.ask([endpoint(0)], 1, ())
+        assert fleet.probes.is_known(endpoint(0))
 
     run_virtually(main())
 
 
-def test_a_keeper_that_started_again_is_heard_before_the_store_tells_of_it() -> None:
+def test_a_restarted_keeper_is_accepted_before_its_announcement() -> None:
     async def main() -> None:
-        world = World(1)
-        world.keepers[world.host(0)] = QueueKeeper(
-            "gateway-0#2", world.answer, world.clock
+        fleet = FakeFleet(1)
+        fleet.keepers[fleet.host(0)] = QueueKeeper(
+            "gateway-0#2", fleet.answer, fleet.clock
         )
         for _ in range(2 * MAX_UNANSWERED):
-            assert "e0" in await world.probes.ask([endpoint(0)], 1, ())
+            assert "e0" in await fleet.probes.ask([endpoint(0)], 1, ())
             await sleep(0.05)
-        assert world.probes.is_known(endpoint(0))
+        assert fleet.probes.is_known(endpoint(0))
 
     run_virtually(main())
 
 
 @pytest.mark.parametrize("entries", [4, 40, 400])
-def test_a_call_costs_the_same_in_each_fleet(entries: int) -> None:
+def test_messages_of_a_call_do_not_grow_with_the_fleet(entries: int) -> None:
     async def main() -> None:
-        world = World(48, entries)
+        fleet = FakeFleet(48, entries)
         asked = [endpoint(number) for number in range(4)]
-        assert len(await world.probes.ask(asked, 1, PARTS)) == 4
-        world.probes.on_sent(asked[0], "r", 1, 900, PARTS)
-        world.probes.on_read(asked[0], "r")
-        world.probes.on_ended(asked[0], "r")
-        assert world.sent == 7
-        assert not world.probes.pending
+        assert len(await fleet.probes.ask(asked, 1, PARTS)) == 4
+        fleet.probes.on_sent(asked[0], "r", 1, 900, PARTS)
+        fleet.probes.on_read(asked[0], "r")
+        fleet.probes.on_ended(asked[0], "r")
+        assert fleet.sent == 7
+        assert not fleet.probes.pending
 
     run_virtually(main())
 
 
 def test_the_queues_of_one_keeper_are_bounded() -> None:
     async def main() -> None:
-        world = World(1)
+        fleet = FakeFleet(1)
         for number in range(3 * MAX_QUEUES):
-            world.probes.on_sent(endpoint(0)._replace(boot=number), "r", 1, 1, ())
-        await sleep(2 * WAY_SECONDS)
-        assert len(world.keepers[world.host(0)].queues) == MAX_QUEUES
+            fleet.probes.on_sent(endpoint(0)._replace(boot=number), "r", 1, 1, ())
+        await sleep(2 * NETWORK_DELAY)
+        assert len(fleet.keepers[fleet.host(0)].queues) == MAX_QUEUES
 
     run_virtually(main())
