--- a/tests/unit/admission/test_fairness.py
+++ b/tests/unit/admission/test_fairness.py
@@ -1,4 +1,4 @@
-"""Backlogged teams are served alike, whatever their requests cost."""
+"""Backlogged teams get equal service by weight, whatever their requests cost."""
 
 from os import environ
 
@@ -17,7 +17,10 @@
 def served_by_team(
     slots: int, weights: dict[str, float], costs: dict[str, tuple[list[int], list[int]]]
 ) -> dict[str, int]:
-    """Serve always backlogged teams; a cost is bounds and what they come to."""
+    """Return the tokens served to teams that are always backlogged.
+
+    A cost consists of upper bounds and of the percentages of them that are used.
+    """
     state = empty(slots, queue_limit=1_000)
     served = dict.fromkeys(weights, 0)
     running: list[str] = []
--- a/tests/unit/admission/test_queue.py
+++ b/tests/unit/admission/test_queue.py
@@ -1,4 +1,4 @@
-"""Admission gives each request one verdict, in a fair order."""
+"""Admission, queueing, refusal and fair order of requests."""
 
 from clementinebend_admission.queue import (
     Admitted,
--- a/tests/unit/admission/test_retries.py
+++ b/tests/unit/admission/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries stay within their share of the requests."""
+"""Retries stay within the configured ratio of the requests."""
 
 from clementinebend_admission.retries import may_retry, new_retry_state, on_request
 
--- a/tests/unit/admission/test_stateful_queue.py
+++ b/tests/unit/admission/test_stateful_queue.py
@@ -1,6 +1,6 @@
-"""Fuzzing of admission against a plain account of who waits and who runs.
+"""Fuzz test of admission against a model of the waiting and running requests.
 
-``CLEMENTINEBEND_FUZZ=1`` runs more, with fresh seeds.
+``CLEMENTINEBEND_FUZZ=1`` runs more examples, with fresh seeds.
 """
 
 from os import environ
@@ -35,7 +35,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Keeps the one verdict of each request and holds admission to it."""
+    """Tracks the state of each request and compares admission with it."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/unit/admission/test_waiting.py
+++ b/tests/unit/admission/test_waiting.py
@@ -1,4 +1,4 @@
-"""Which waiting prompt is sent next, and which is turned away."""
+"""Order, expected wait and refusal of waiting prompts."""
 
 from random import Random
 
@@ -21,7 +21,7 @@
 
 TARGET = 0.5
 PREFILL_TOKENS_PER_SECOND = 60_000
-"""Tokens of prompts that the replayed endpoint reads in a second."""
+"""Prompt tokens that the simulated endpoint processes per second."""
 
 
 def prompt(name: str, priority: int = 1, now: float = 0.0) -> WaitingPrompt:
@@ -68,10 +68,11 @@
 
 
 def count_served_in_burst(is_prioritized: bool) -> tuple[int, int]:
-    """Replay a burst of three times what an endpoint reads, for four seconds.
+    """Simulate four seconds of a burst at three times the capacity of an endpoint.
 
-    Returns how many of the prompts were on time, and how many were started later
-    than their callers stay. Without the order they wait first come, first served.
+    Returns how many prompts were on time, and how many were processed only after
+    their callers had given up. Without priorities, prompts are served first come,
+    first served.
     """
     random = Random(7)
     arrivals = sorted(random.uniform(0, 4) for _ in range(720))
--- a/tests/unit/relay/calls.py
+++ b/tests/unit/relay/calls.py
@@ -1,4 +1,4 @@
-"""Calls as the unit tests of the relay build them."""
+"""Builders of routes and calls for the unit tests of the relay."""
 
 from clementinebend_relay.admission import Admitted
 from clementinebend_relay.models import (
@@ -22,7 +22,7 @@
     is_resumable: bool = True,
     priority: int = 1,
 ) -> Route:
-    """Return a route of the one service, with a latency target of 0.5 s."""
+    """Return a route to the service ``pool`` with a latency target of 0.5 s."""
     shares = (ServiceShare("pool", 1.0),)
     return Route(
         "r", "/s/", kind, 5.0, 0.5, priority, shares, max_attempts, True, is_resumable
@@ -30,10 +30,10 @@
 
 
 def admitted(route: Route, call: Call = CALL) -> Admitted:
-    """Return a call that is admitted on the terms of a route."""
+    """Return a call admitted with the limits of a route."""
     return Admitted(call, route, SERVICE, TEAM, route.priority, 5.0, 1, "f")
 
 
 def progress(route: Route) -> CallProgress:
-    """Return a call that has not been sent yet, with a deadline at 10 s."""
+    """Return the progress of an unsent call with a deadline at 10 s."""
     return CallProgress(admitted(route), 10.0)
--- a/tests/unit/relay/test_attempts.py
+++ b/tests/unit/relay/test_attempts.py
@@ -1,4 +1,4 @@
-"""Which endpoints count as attempts of a call, and what ends them."""
+"""Which endpoints count as attempts of a call, and when the attempts end."""
 
 from collections.abc import Collection, Iterator
 from contextlib import contextmanager
@@ -21,7 +21,7 @@
 
 
 class FakeDispatcher:
-    """Endpoints that fare as told, one after the other."""
+    """Returns the given outcomes in turn; None stands for a failed connection."""
 
     def __init__(self, outcomes: list[Verdict | None]) -> None:
         self.outcomes = outcomes
@@ -47,7 +47,7 @@
     async def open(self, admitted: Admitted, state: Any, *times: Any) -> Any:
         outcome = self.outcomes.pop(0)
         if outcome is None:
-            return NotSent("nobody listens")
+            return NotSent("connection refused")
         answer = SimpleNamespace(status=200, close=lambda: None)
         return ResponseStarted(state, answer, outcome)  # type: ignore[arg-type]
 
--- a/tests/unit/relay/test_bounds.py
+++ b/tests/unit/relay/test_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on what an endpoint may send."""
+"""Size and time limits on the responses of endpoints."""
 
 from asyncio import get_running_loop, sleep
 from collections.abc import AsyncIterator
@@ -10,7 +10,7 @@
 
 
 class CloseRecorder:
-    """Notes that an answer was closed."""
+    """Records whether a response was closed."""
 
     def __init__(self) -> None:
         self.is_closed = False
@@ -20,25 +20,25 @@
 
 
 async def yield_chunks(*parts: bytes) -> AsyncIterator[bytes]:
-    """Yield the parts of an answer."""
+    """Yield the chunks of a body."""
     for part in parts:
         yield part
 
 
 async def truncated_chunks() -> AsyncIterator[bytes]:
-    """Yield a piece, and end as a connection does that breaks off."""
+    """Yield a chunk, then fail like a lost connection."""
     yield b"half"
     raise TruncatedAnswer("gone")
 
 
 async def stalled_chunks() -> AsyncIterator[bytes]:
-    """Yield a piece, and no other."""
+    """Yield a chunk, then stall."""
     yield b"half"
     await sleep(60)
 
 
 def answer(chunks: AsyncIterator[bytes], on_close: CloseRecorder) -> OpenAnswer:
-    """Return an open answer with a body."""
+    """Return an open response with a body."""
     return OpenAnswer(200, {}, chunks, on_close)
 
 
@@ -82,5 +82,5 @@
 
 
 def distant_deadline() -> float:
-    """Return a time of the loop that is far enough away."""
+    """Return a deadline that does not expire during a test."""
     return get_running_loop().time() + 10
--- a/tests/unit/relay/test_progress.py
+++ b/tests/unit/relay/test_progress.py
@@ -1,4 +1,4 @@
-"""What a call costs, and what its caller is told at its end."""
+"""The cost of a call, and the reason reported to its caller if it fails."""
 
 import pytest
 
--- a/tests/unit/relay/test_prompt_queues.py
+++ b/tests/unit/relay/test_prompt_queues.py
@@ -1,4 +1,4 @@
-"""Calls that wait at the entry until little lies ahead of them."""
+"""Calls that wait at the entry until an endpoint has a short queue."""
 
 from asyncio import create_task, gather, get_running_loop, sleep
 from collections.abc import Collection
@@ -15,11 +15,11 @@
 from tests.unit.relay.calls import CALL
 
 MAX_WAIT = 1.0
-"""Half of the two seconds for which a caller stays without an event."""
+"""Half of the two seconds after which a caller abandons a call without events."""
 
 
 class FakeDispatcher:
-    """A dispatcher that knows how many seconds lie ahead of a prompt."""
+    """Reports a fixed time that the prompts ahead take, or None if unknown."""
 
     def __init__(self, seconds: float | None) -> None:
         self.seconds = seconds
--- a/tests/unit/relay/test_queue_probes.py
+++ b/tests/unit/relay/test_queue_probes.py
@@ -1,4 +1,4 @@
-"""Questions about endpoints' queues: whom they go to, and what an answer is worth."""
+"""Queue probes: the queue keepers they are sent to, and the reports they return."""
 
 from asyncio import get_running_loop, sleep
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 
 class FakeFleet:
-    """Some gateways, one beside each endpoint; those in ``dark`` keep silent."""
+    """Gateways, one per endpoint; those in ``unreachable`` do not respond."""
 
     def __init__(self, gateways: int, entries: int = 1) -> None:
         self.clock = get_running_loop().time
