--- a/libs/admission/src/clementinebend_admission/teams.py
+++ b/libs/admission/src/clementinebend_admission/teams.py
@@ -4,7 +4,9 @@
 A team's counter is the tokens served to it, divided by its weight. The
 backlogged team with the lowest counter is served next. When a team that has
 nothing waiting sends a request, its counter is raised to at least the lowest
-counter of the backlogged teams, so that it cannot accumulate service while idle.
+counter of the backlogged teams, or to the ``floor`` of the state if there are none.
+So a team cannot accumulate service while idle, and is not penalized for service that
+it got while no other team waited.
 """
 
 from heapq import heappop, heappush
