--- a/libs/admission/src/clementinebend_admission/queue.py
+++ b/libs/admission/src/clementinebend_admission/queue.py
@@ -1,9 +1,10 @@
-"""Admission: run now, wait in the team's queue, or refuse at once.
+"""Admission: start a request, queue it for its team, or refuse it.
 
-Fairness between teams is by virtual token counters (see ``teams``), order
-within a team by priority. A request that cannot start before its deadline is
-refused at the door. All is decided in memory: ``(state, event, now)`` gives
-``(state, outcomes)``, and the state handed in is consumed.
+Virtual token counters keep teams fair (see ``teams``); within a team, requests
+are ordered by priority. A request that is not expected to start before its
+deadline is refused on arrival. The functions do no I/O: each maps ``(state,
+event, now)`` to ``(state, outcomes)``. They modify the state passed in, so
+callers must only use the returned one.
 """
 
 from clementinebend_admission.estimates import (
@@ -12,32 +13,32 @@
     retry_after_ms,
 )
 from clementinebend_admission.models import (
+    AdmissionOutcome,
     Admitted,
     Arrival,
     Capacity,
     Queued,
     Refused,
-    Verdict,
 )
 from clementinebend_admission.state import (
     AdmissionState,
     Running,
     empty_admission,
-    fits,
+    has_capacity,
     is_known,
+    mark_overdue,
     next_waiting,
     remove,
-    set_overdue,
     waiting,
     waiting_count,
 )
 from clementinebend_admission.teams import (
     charge,
     enqueue,
-    learn_use,
-    lift,
     new_team,
+    raise_counter,
     tokens_ahead,
+    update_used_share,
 )
 from clementinebend_records.reasons import NotRunReason
 
@@ -59,17 +60,17 @@
 
 def arrive(
     state: AdmissionState, arrival: Arrival, now: float
-) -> tuple[AdmissionState, Verdict]:
-    """Give a new request its verdict; ``Queued`` is followed by another one."""
+) -> tuple[AdmissionState, AdmissionOutcome]:
+    """Admit, queue or refuse a new request; a queued one gets a final outcome later."""
     if is_known(state, arrival.request):
         raise ValueError(f"request {arrival.request!r} has arrived before")
     next_waiting(state, now)
-    state = _enter(state, arrival.team, arrival.weight, now)
+    state = _register_team(state, arrival.team, arrival.weight, now)
     if arrival.deadline <= now:
         return state, Refused(
             NotRunReason.DEADLINE, _retry_after(state, arrival, 0.0), arrival.request
         )
-    if _goes_next(state, arrival):
+    if _can_start_now(state, arrival):
         return _start(state, arrival, now), Admitted(arrival.request)
     return _queue_or_refuse(state, arrival, now)
 
@@ -77,7 +78,7 @@
 def finish(
     state: AdmissionState, request: str, tokens: int, now: float
 ) -> tuple[AdmissionState, tuple[Admitted, ...]]:
-    """Take the end of a running request that cost ``tokens``; start others."""
+    """Release a finished request that cost ``tokens`` and start waiting ones."""
     state = state._replace(clock=now)
     running = state.running.pop(request, None)
     if running is None:
@@ -85,11 +86,11 @@
     arrival = running.arrival
     team = state.teams[arrival.team]
     team = charge(team, tokens - running.charged)
-    team = learn_use(team, arrival.tokens, tokens)
+    team = update_used_share(team, arrival.tokens, tokens)
     state.teams[arrival.team] = team._replace(running=team.running - 1)
     state = state._replace(
         running_tokens=state.running_tokens - arrival.tokens,
-        measure=add_sample(state.measure, now - running.started_at, arrival.tokens),
+        averages=add_sample(state.averages, now - running.started_at, arrival.tokens),
     )
     return _start_waiting(state, now)
 
@@ -97,7 +98,11 @@
 def cancel(
     state: AdmissionState, request: str, now: float
 ) -> tuple[AdmissionState, tuple[Admitted, ...]]:
-    """Take away a request that nobody waits for and that did not run."""
+    """Remove a request whose caller left and that was not executed.
+
+    If it held capacity, the charge to its team is reversed and waiting requests
+    are started.
+    """
     state = state._replace(clock=now)
     running = state.running.pop(request, None)
     if running is None:
@@ -118,7 +123,7 @@
     state = state._replace(clock=now)
     late = [arrival for arrival in waiting(state) if arrival.deadline <= now]
     for arrival in late:
-        set_overdue(state, arrival)
+        mark_overdue(state, arrival)
     refused = tuple(
         Refused(
             NotRunReason.DEADLINE, _retry_after(state, arrival, 0.0), arrival.request
@@ -135,31 +140,31 @@
     tokens: int | None = None,
     now: float | None = None,
 ) -> tuple[AdmissionState, tuple[Admitted, ...]]:
-    """Change what may run at one time; more of it starts waiting requests.
+    """Change the capacity and start the waiting requests that fit into it.
 
-    Without ``now`` the time of the last event is taken, and requests that
-    became overdue since then may start.
+    Without ``now``, the time of the last event is used, and requests that have
+    become overdue since then may start.
     """
     clock = state.clock if now is None else now
     state = state._replace(capacity=Capacity(slots, tokens), clock=clock)
     return _start_waiting(state, clock)
 
 
-def _enter(
+def _register_team(
     state: AdmissionState, name: str, weight: float, now: float
 ) -> AdmissionState:
-    """Return the state with the team known, and lifted if it was idle."""
+    """Add or update the team, and raise its counter if it has nothing waiting."""
     team = state.teams.get(name) or new_team(weight, state.floor)
     if name not in state.backlogged:
         counters = (state.teams[other].counter for other in state.backlogged)
-        team = lift(team, min(counters, default=state.floor))
+        team = raise_counter(team, min(counters, default=state.floor))
     state.teams[name] = team._replace(weight=new_team(weight, 0.0).weight)
     return state._replace(clock=now)
 
 
-def _goes_next(state: AdmissionState, arrival: Arrival) -> bool:
-    """Tell whether the request runs at once and passes over nobody."""
-    if not fits(state, arrival):
+def _can_start_now(state: AdmissionState, arrival: Arrival) -> bool:
+    """Return whether the request can start now without overtaking waiting ones."""
+    if not has_capacity(state, arrival):
         return False
     rivals = (state.teams[name].counter for name in state.backlogged)
     least = min(rivals, default=float("inf"))
@@ -171,8 +176,8 @@
 
 def _queue_or_refuse(
     state: AdmissionState, arrival: Arrival, now: float
-) -> tuple[AdmissionState, Verdict]:
-    wait = _wait(state, arrival)
+) -> tuple[AdmissionState, AdmissionOutcome]:
+    wait = _expected_wait(state, arrival)
     remaining = arrival.deadline - now
     if wait >= remaining:
         reason = (
@@ -186,18 +191,18 @@
     team = enqueue(state.teams[arrival.team], arrival, state.sequence)
     state.teams[arrival.team] = team
     state.backlogged[arrival.team] = None
-    state.owners[arrival.request] = arrival.team
+    state.team_by_request[arrival.request] = arrival.team
     state = state._replace(sequence=state.sequence + 1)
     return state, Queued(arrival.request, wait)
 
 
 def _queue_is_full(state: AdmissionState, arrival: Arrival) -> bool:
-    """Tell whether the queue is full for this team.
+    """Return whether the queue is full for this team.
 
-    A full queue still takes a team's requests up to its share by weight, so a
-    team that fills the queue cannot shut out the others.
+    A full queue still accepts a team's requests up to the team's share by weight,
+    so that a team that fills the queue cannot lock out the others.
     """
-    if len(state.owners) < state.queue_limit:
+    if len(state.team_by_request) < state.queue_limit:
         return False
     own = state.teams[arrival.team]
     names = {arrival.team, *state.backlogged}
@@ -205,14 +210,16 @@
     return len(own.waiting) >= state.queue_limit * own.weight / weights
 
 
-def _wait(state: AdmissionState, arrival: Arrival) -> float:
+def _expected_wait(state: AdmissionState, arrival: Arrival) -> float:
     ahead = tokens_ahead(state.teams, state.backlogged, arrival)
-    return expected_wait(state.capacity, state.measure, ahead)
+    return expected_wait(state.capacity, state.averages, ahead)
 
 
 def _retry_after(state: AdmissionState, arrival: Arrival, tolerated: float) -> int:
-    """Return when the wait will have come down to what the caller tolerates."""
-    return retry_after_ms(max(0.0, _wait(state, arrival) - tolerated), arrival.request)
+    """Return the time in which the wait is expected to fall to ``tolerated``."""
+    return retry_after_ms(
+        max(0.0, _expected_wait(state, arrival) - tolerated), arrival.request
+    )
 
 
 def _start(state: AdmissionState, arrival: Arrival, now: float) -> AdmissionState:
@@ -232,10 +239,12 @@
 ) -> tuple[AdmissionState, tuple[Admitted, ...]]:
     """Start waiting requests in order while capacity is free.
 
-    Those past their deadline are left for ``expire`` to refuse.
+    Requests past their deadline are set aside for ``expire`` to refuse.
     """
     admitted = []
-    while (arrival := next_waiting(state, now)) is not None and fits(state, arrival):
+    while (arrival := next_waiting(state, now)) is not None and has_capacity(
+        state, arrival
+    ):
         remove(state, arrival.request)
         state = _start(state, arrival, now)
         admitted.append(Admitted(arrival.request))
--- a/libs/admission/src/clementinebend_admission/waiting.py
+++ b/libs/admission/src/clementinebend_admission/waiting.py
@@ -1,102 +1,102 @@
-"""Which waiting prompt is sent next, and which is turned away. Pure.
+"""Scheduling of waiting prompts: which is sent next, and which is refused. No I/O.
 
-Load pattern: bursts of three to four times the usual load while a part of the pool
-is dark or slow. Endpoints that queue first come, first served then give every first
-token late, up to the moment at which callers leave. So prompts wait here, and
-endpoints' own queues are kept short: those that can still be on time go first, the
-others use what is left while their callers are there. What cannot start before its
-caller leaves is refused at once.
+Designed for bursts of three to four times the usual load while a part of the pool
+is unreachable or slow. Endpoints that queue first come, first served then deliver
+every first token late, up to the time at which callers give up. So prompts wait
+here, and the endpoints' own queues are kept short: prompts that can still meet their
+latency target go first, and the others use the remaining capacity until their
+callers give up. A prompt that cannot start before then is refused at once.
 
-Times are in seconds on the steady clock, amounts in tokens.
+Times are in seconds on a monotonic clock, amounts in tokens.
 """
 
 from collections.abc import Iterable
 from math import exp
 from typing import NamedTuple
 
-LONGEST_AHEAD_PART = 0.4
-"""Part of the shortest latency target that the prompts ahead of a new one may take at
-its endpoint; the rest is for the prompt itself and for the way there."""
+MAX_AHEAD_FRACTION = 0.4
+"""Fraction of the shortest latency target that the prompts ahead of a new one may take
+at its endpoint; the rest is for the prompt itself and for the network."""
 
-ON_TIME_PART = 0.25
-"""Part of a latency target that a prompt may wait here and still be on time: what is
-ahead of it at its endpoint, and reading it, take the rest."""
+ON_TIME_WAIT_FRACTION = 0.25
+"""Fraction of a latency target that a prompt may wait here and still be on time: the
+prompts ahead of it at its endpoint and its own prefill take the rest."""
 
-LEAST_PATIENCE = 2.0
-TARGETS_OF_PATIENCE = 4.0
-"""A caller leaves a stream that gives no event for the longest of these: seconds, and
-latency targets."""
+MIN_PATIENCE = 2.0
+PATIENCE_IN_LATENCY_TARGETS = 4.0
+"""Callers abandon a stream without events after ``MIN_PATIENCE`` seconds or after this
+many latency targets, whichever is longer."""
 
-WAITED_PART = 0.5
-"""Part of a caller's patience that a prompt may wait here; the rest is for reading
-it, and for the way back."""
+MAX_WAIT_FRACTION = 0.5
+"""Fraction of a caller's patience that a prompt may wait here; the rest is for its
+prefill and for the response."""
 
-RATE_SECONDS = 2.0
-"""Time constant of the rate at which prompts start: shorter than a burst, longer
-than the gaps between first tokens."""
+RATE_TIME_CONSTANT = 2.0
+"""Time constant, in seconds, of the moving average of the start rate: shorter than a
+burst, longer than the gaps between first tokens."""
 
-LEAST_RETURN, MOST_RETURN = 0.5, 5.0
-"""Bounds of the seconds after which a refused caller is to come back: one that is told
-more may not wait so long, and one that is told less meets the same queue."""
+MIN_RETRY_AFTER, MAX_RETRY_AFTER = 0.5, 5.0
+"""Bounds of the retry time in seconds, before jitter: callers may not wait for a longer
+one, and after a shorter one they would find the same queue."""
 
-RETURN_SPREAD = 0.5
-"""Part by which times to come back are spread, so that returns don't come together."""
+RETRY_JITTER = 0.5
+"""Maximum jitter as a fraction of a retry time, so that retries do not coincide."""
 
 
 class WaitingPrompt(NamedTuple):
-    """A prompt that waits for an endpoint with little ahead.
+    """A prompt that waits for an endpoint with a short queue.
 
-    ``on_time_until`` is when it must start to be on time, ``waits_until`` is when
-    it is turned away. ``priority`` is 0 for the most urgent.
+    To meet its latency target it must start by ``on_time_deadline``; if it has not
+    started by ``wait_deadline``, it is refused. The most urgent ``priority`` is 0.
     """
 
     request: str
     priority: int
     tokens: int
     arrived: float
-    on_time_until: float
-    waits_until: float
+    on_time_deadline: float
+    wait_deadline: float
 
 
 class StartRate(NamedTuple):
-    """Tokens of prompts that start in a second, as seen lately."""
+    """Moving average of the prompt tokens started per second."""
 
     tokens: float = 0.0
-    seen_at: float = 0.0
+    updated_at: float = 0.0
 
 
-def waiting_prompt(
+def new_waiting_prompt(
     request: str, priority: int, tokens: int, latency_target: float, now: float
 ) -> WaitingPrompt:
-    """Return a prompt that has come now."""
-    patience = max(LEAST_PATIENCE, TARGETS_OF_PATIENCE * latency_target)
+    """Return a prompt that arrives at ``now``, with its deadlines."""
+    patience = max(MIN_PATIENCE, PATIENCE_IN_LATENCY_TARGETS * latency_target)
     return WaitingPrompt(
         request,
         priority,
         tokens,
         now,
-        now + latency_target * ON_TIME_PART,
-        now + WAITED_PART * patience,
+        now + latency_target * ON_TIME_WAIT_FRACTION,
+        now + MAX_WAIT_FRACTION * patience,
     )
 
 
 def next_prompt(waiting: Iterable[WaitingPrompt], now: float) -> WaitingPrompt | None:
-    """Return which prompt starts when there is room for one.
+    """Return the prompt to start next, or None if none waits.
 
-    Those that can still be on time go first, the most urgent first among them and
-    then the one that has least time left. The others follow in the same order.
+    Prompts that can still be on time go first, ordered by priority and then by
+    deadline. The late ones follow in the same order.
     """
-    return min(waiting, key=lambda prompt: _order(prompt, now), default=None)
+    return min(waiting, key=lambda prompt: _sort_key(prompt, now), default=None)
 
 
-def on_start(rate: StartRate, tokens: int, now: float) -> StartRate:
-    """Count a prompt that has started."""
-    return StartRate(rate_now(rate, now) + tokens / RATE_SECONDS, now)
+def record_started_prompt(rate: StartRate, tokens: int, now: float) -> StartRate:
+    """Return the rate updated with a prompt that has started."""
+    return StartRate(current_rate(rate, now) + tokens / RATE_TIME_CONSTANT, now)
 
 
-def rate_now(rate: StartRate, now: float) -> float:
-    """Return the tokens of prompts that start in a second, as seen now."""
-    return rate.tokens * exp(-max(0.0, now - rate.seen_at) / RATE_SECONDS)
+def current_rate(rate: StartRate, now: float) -> float:
+    """Return the prompt tokens started per second, decayed to ``now``."""
+    return rate.tokens * exp(-max(0.0, now - rate.updated_at) / RATE_TIME_CONSTANT)
 
 
 def expected_wait(
@@ -105,28 +105,29 @@
     rate: StartRate,
     now: float,
 ) -> float:
-    """Return the seconds until ``prompt`` starts, with those that go before it."""
-    order = _order(prompt, now)
-    before = sum(other.tokens for other in waiting if _order(other, now) < order)
+    """Return the seconds until the prompts that go before ``prompt`` have started."""
+    order = _sort_key(prompt, now)
+    before = sum(other.tokens for other in waiting if _sort_key(other, now) < order)
     if not before:
         return 0.0
-    return before / max(1.0, rate_now(rate, now))
+    return before / max(1.0, current_rate(rate, now))
 
 
 def can_start_in_time(prompt: WaitingPrompt, wait: float, now: float) -> bool:
-    """Tell whether a prompt starts before it would be turned away."""
-    return now + wait < prompt.waits_until
+    """Return whether a prompt can start before its wait deadline."""
+    return now + wait < prompt.wait_deadline
 
 
-def return_after(wait: float, draw: float) -> float:
-    """Return after how many seconds a refused caller will find room.
+def retry_after_seconds(wait: float, draw: float) -> float:
+    """Return the seconds after which a refused caller should retry.
 
-    ``wait`` is how long the queue is now; ``draw`` from 0 to 1 spreads the returns.
+    ``wait`` is the expected wait in the queue; ``draw``, a random number from 0 to 1,
+    sets the jitter.
     """
-    spread = 1 + RETURN_SPREAD * draw
-    return min(MOST_RETURN, max(LEAST_RETURN, wait) * spread)
+    spread = 1 + RETRY_JITTER * draw
+    return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, wait) * spread)
 
 
-def _order(prompt: WaitingPrompt, now: float) -> tuple[bool, int, float, str]:
-    is_late = now > prompt.on_time_until
-    return is_late, prompt.priority, prompt.on_time_until, prompt.request
+def _sort_key(prompt: WaitingPrompt, now: float) -> tuple[bool, int, float, str]:
+    is_late = now > prompt.on_time_deadline
+    return is_late, prompt.priority, prompt.on_time_deadline, prompt.request
--- a/tests/unit/admission/test_fairness.py
+++ b/tests/unit/admission/test_fairness.py
@@ -1,4 +1,4 @@
-"""Backlogged teams are served alike, whatever their requests cost."""
+"""Backlogged teams get equal service by weight, whatever their requests cost."""
 
 from os import environ
 
@@ -11,13 +11,16 @@
 FUZZ = environ.get("CLEMENTINEBEND_FUZZ") == "1"
 LARGEST = 100
 ROUNDS = 300
-NEVER = 1e9
+NO_DEADLINE = 1e9
 
 
 def served_by_team(
     slots: int, weights: dict[str, float], costs: dict[str, tuple[list[int], list[int]]]
 ) -> dict[str, int]:
-    """Serve always backlogged teams; a cost is bounds and what they come to."""
+    """Return the tokens served to teams that are always backlogged.
+
+    A cost consists of upper bounds and of the percentages of them that are used.
+    """
     state = empty(slots, queue_limit=1_000)
     served = dict.fromkeys(weights, 0)
     running: list[str] = []
@@ -25,10 +28,10 @@
         for team, weight in weights.items():
             bounds, _ = costs[team]
             bound = bounds[number % len(bounds)]
-            arrival = Arrival(f"{team}/{number}", team, weight, 0, bound, NEVER)
-            state, verdict = arrive(state, arrival, float(number))
-            if isinstance(verdict, Admitted):
-                running.append(verdict.request)
+            arrival = Arrival(f"{team}/{number}", team, weight, 0, bound, NO_DEADLINE)
+            state, outcome = arrive(state, arrival, float(number))
+            if isinstance(outcome, Admitted):
+                running.append(outcome.request)
     for _ in range(ROUNDS // 2):
         request = running.pop(0)
         team, _, number_text = request.partition("/")
