--- a/libs/entry/src/clementinebend_entry/claims.py
+++ b/libs/entry/src/clementinebend_entry/claims.py
@@ -1,7 +1,7 @@
-"""The owner of this entry's view of the claims shards.
+"""Client of the claims shards of the log, with this entry's replayed view of them.
 
-A claim counts once it is read back as the first of its key. While the log
-cannot be reached no call is claimed, so none runs.
+A claim is won once it is read back as the first claim of its key. While the
+log is unreachable, no call can be claimed, so none runs.
 """
 
 from asyncio import Event, Future, get_running_loop, timeout_at, wait
@@ -35,7 +35,7 @@
 from clementinebend_records.streams import claims_stream, claims_streams
 
 LOOK_INTERVAL_S = 0.1
-"""How often a claim that waits looks at whether the log fails."""
+"""How often a waiting claim checks whether the log has failed."""
 
 ClaimVerdict = ClaimWon | ClaimLost | ClaimConflict | ClaimRefused
 
@@ -54,17 +54,17 @@
         }
 
     def shard_for(self, key: RequestKey) -> ClaimsShard:
-        """Return the shard that a key belongs to."""
+        """Return the shard that stores the claims of a key."""
         return self.shards[claims_stream(key, self.shard_count)]
 
     def can_claim(self, key: RequestKey) -> bool:
-        """Return whether the log answers, so that a claim is worth trying."""
+        """Return whether the log is reachable, so that a claim can be attempted."""
         shard = self.shard_for(key)
         is_heard = shard.tail.ready.is_set() and not shard.tail.failures
         return is_heard and shard.writer.failing_since is None
 
     def retry_after_ms(self, key: RequestKey) -> int:
-        """Return when a call refused for want of the log may come back."""
+        """Return the retry delay of a call refused because the log is unavailable."""
         shard = self.shard_for(key)
         heard = shard.tail.caught_up_at
         failing = shard.tail.failures or shard.writer.failing_since is not None
@@ -73,16 +73,17 @@
         return outage_retry_ms(get_running_loop().time() - heard)
 
     def claim_of(self, key: RequestKey) -> ClaimView | None:
-        """Return the claim that stands, as far as this entry has read."""
+        """Return the current claim of a key in the records read so far."""
         return claim_of(self.shard_for(key).state, key)
 
     async def claim(
         self, key: RequestKey, body_digest: str, run: RunId, deadline: float
     ) -> ClaimVerdict | None:
-        """Claim a call; None if the claim is not read back.
+        """Claim a call and return the verdict, or None if it is not read back.
 
-        It is given up at the deadline, or as soon as the log has failed for
-        ``LOG_PATIENCE_S``: the run then never starts, whatever replay says.
+        The claim is abandoned at the deadline, or as soon as the log has failed
+        for ``LOG_PATIENCE_S``. The run is then never started, even if a later
+        replay shows that the claim was won.
         """
         verdict: Future[ClaimVerdict] = get_running_loop().create_future()
         self.waiting[run] = verdict
@@ -101,7 +102,7 @@
     async def until_decided(
         self, key: RequestKey, verdict: "Future[ClaimVerdict]", deadline: float
     ) -> bool:
-        """Wait for a verdict; return false if it is given up."""
+        """Wait for a verdict; return false if the claim is abandoned first."""
         loop, shard = get_running_loop(), self.shard_for(key)
         while not verdict.done():
             now = loop.time()
@@ -112,7 +113,7 @@
         return True
 
     def on_outcome(self, outcome: ClaimsOutcome) -> None:
-        """Wake the one who waits for the verdict on its claim."""
+        """Pass a verdict to the waiting claim, or signal that a claim was settled."""
         if isinstance(outcome, ClaimWon | ClaimLost | ClaimConflict | ClaimRefused):
             verdict = self.waiting.get(outcome.run)
             if verdict is not None and not verdict.done():
@@ -124,10 +125,10 @@
     async def until_settled(
         self, key: RequestKey, run: RunId | None, patience: float
     ) -> None:
-        """Wait until another run's claim is freed or has its answer.
+        """Wait until another run's claim is freed or its answer is recorded.
 
-        It returns without that after ``patience`` seconds, and at once if no
-        run but ``run`` has a claim.
+        Returns after ``patience`` seconds at the latest, and immediately if no
+        run other than ``run`` holds a claim.
         """
         deadline = get_running_loop().time() + patience
         try:
@@ -142,19 +143,23 @@
         return view is not None and view.answer is None and view.run != run
 
     async def read_up_to_now(self, key: RequestKey, patience: float) -> None:
-        """Wait until all claims of a key that were appended by now are read."""
+        """Wait until all claims of a key that are already in the log have been read.
+
+        Posts a void record of a new run and waits until it is read back, or for
+        ``patience`` seconds.
+        """
         record = ClaimVoid(key, new_run_id(), self.claimant)
         posted = self.shard_for(key).writer.post((record,))
         await wait((posted,), timeout=patience)
 
     def void(self, key: RequestKey, run: RunId) -> None:
-        """Free the key of a call that did not run and never will."""
+        """Release the key of a call that did not run and will not be run."""
         self.post(key, ClaimVoid(key, run, self.claimant))
 
     def record(
         self, key: RequestKey, run: RunId, status: int, content_type: str, body: bytes
     ) -> None:
-        """Record the answer that every retry is to get."""
+        """Record the answer that every retry receives."""
         self.post(key, ClaimOutcome(key, run, status, content_type, body))
 
     def post(self, key: RequestKey, record: Record) -> None:
@@ -163,10 +168,10 @@
 
     @property
     def is_flushed(self) -> bool:
-        """Whether all that was posted has been read back."""
+        """Whether all posted records have been read back."""
         return all(shard.is_flushed for shard in self.shards.values())
 
     async def close(self, patience: float) -> None:
-        """Flush for up to ``patience`` seconds, then stop."""
+        """Flush all shards for up to ``patience`` seconds each, then stop."""
         for shard in self.shards.values():
             await shard.close(patience)
