--- a/libs/entry/src/clementinebend_entry/claimed_calls.py
+++ b/libs/entry/src/clementinebend_entry/claimed_calls.py
@@ -5,7 +5,7 @@
 
 from clementinebend_entry.answers import JSON, error_of
 from clementinebend_entry.calls import Call
-from clementinebend_entry.claims import ClaimsDesk
+from clementinebend_entry.claims import ClaimsClient
 from clementinebend_entry.metrics import ATTACHMENTS
 from clementinebend_entry.outcomes import Failed, Refusal, Unknown
 from clementinebend_entry.pieces import Whole
@@ -27,7 +27,7 @@
 class ClaimedCall:
     """What is known of a call's claim; for idempotent calls nothing is done."""
 
-    def __init__(self, desk: ClaimsDesk, call: Call) -> None:
+    def __init__(self, desk: ClaimsClient, call: Call) -> None:
         self.desk = desk
         self.call = call
         self.run: RunId | None = None
--- a/libs/entry/src/clementinebend_entry/claims.py
+++ b/libs/entry/src/clementinebend_entry/claims.py
@@ -40,7 +40,7 @@
 ClaimVerdict = ClaimWon | ClaimLost | ClaimConflict | ClaimRefused
 
 
-class ClaimsDesk:
+class ClaimsClient:
     """Claims calls and records their outcomes."""
 
     def __init__(self, claimant: Incarnation, shards: int, log: LogSettings) -> None:
--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -10,7 +10,7 @@
 
 from clementinebend_entry.admission_gate import AdmissionGate
 from clementinebend_entry.borrower import Borrower
-from clementinebend_entry.claims import ClaimsDesk
+from clementinebend_entry.claims import ClaimsClient
 from clementinebend_entry.closer import Closer
 from clementinebend_entry.configuration import ConfigurationKeeper
 from clementinebend_entry.heartbeat import heartbeat_interval
@@ -69,7 +69,7 @@
         self.ledger = Ledger(
             settings.name, incarnation, settings.ledger_shards, log, self
         )
-        self.claims = ClaimsDesk(incarnation, settings.claims_shards, log)
+        self.claims = ClaimsClient(incarnation, settings.claims_shards, log)
         self.configuration = ConfigurationKeeper(
             log, settings.schema_version, self.on_configuration, stop.set
         )
--- a/libs/entry/src/clementinebend_entry/services.py
+++ b/libs/entry/src/clementinebend_entry/services.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from clementinebend_entry.admission_gate import AdmissionGate
-from clementinebend_entry.claims import ClaimsDesk
+from clementinebend_entry.claims import ClaimsClient
 from clementinebend_entry.ledger import Ledger
 from clementinebend_entry.pointer_desk import PointerDesk
 from clementinebend_entry.receipts import ReceiptDesk
@@ -22,7 +22,7 @@
     router: Router
     pool: SidecarPool
     ledger: Ledger
-    claims: ClaimsDesk
+    claims: ClaimsClient
     pointers: PointerDesk
     receipts: ReceiptDesk
     watch: Watch
--- a/tests/unit/entry/test_claims.py
+++ b/tests/unit/entry/test_claims.py
@@ -7,7 +7,7 @@
 
 from clementinebend_entry.calls import Call
 from clementinebend_entry.claimed_calls import ClaimedCall
-from clementinebend_entry.claims import ClaimsDesk
+from clementinebend_entry.claims import ClaimsClient
 from clementinebend_entry.outcomes import Refusal, Unknown
 from clementinebend_entry.shard import LogSettings
 from clementinebend_ledger.claims import ClaimWon
@@ -33,7 +33,7 @@
 
 async def test_a_claim_that_the_log_swallows_is_given_up_at_once() -> None:
     log = FakeLog()
-    desk = ClaimsDesk(ME, 1, LogSettings(log.client(ME), ME, TailSettings()))
+    desk = ClaimsClient(ME, 1, LogSettings(log.client(ME), ME, TailSettings()))
     deadline = get_running_loop().time() + FAR_S
     async with timeout(PATIENCE_S):
         won = await desk.claim(KEY, "d", RunId("r1"), deadline)
@@ -54,8 +54,8 @@
         await desk.close(1.0)
 
 
-def desk_of(log: FakeLog, claimant: Incarnation) -> ClaimsDesk:
-    return ClaimsDesk(
+def desk_of(log: FakeLog, claimant: Incarnation) -> ClaimsClient:
+    return ClaimsClient(
         claimant, 1, LogSettings(log.client(claimant), claimant, TailSettings())
     )
 
@@ -71,8 +71,8 @@
     """A key that ``first`` holds without having run, and a call that wants it."""
 
     log: FakeLog
-    first: ClaimsDesk
-    second: ClaimsDesk
+    first: ClaimsClient
+    second: ClaimsClient
     claim: ClaimedCall
 
 
@@ -90,7 +90,7 @@
         await second.close(1.0)
 
 
-async def wait_until_heard(desk: ClaimsDesk) -> None:
+async def wait_until_heard(desk: ClaimsClient) -> None:
     async def is_heard() -> bool:
         return desk.can_claim(KEY) and desk.claim_of(KEY) is not None
 
