--- a/libs/entry/src/clementinebend_entry/claimed_calls.py
+++ b/libs/entry/src/clementinebend_entry/claimed_calls.py
@@ -27,15 +27,15 @@
 class ClaimedCall:
     """What is known of a call's claim; for idempotent calls nothing is done."""
 
-    def __init__(self, desk: ClaimsClient, call: Call) -> None:
-        self.desk = desk
+    def __init__(self, claims_client: ClaimsClient, call: Call) -> None:
+        self.claims_client = claims_client
         self.call = call
         self.run: RunId | None = None
         self.is_won = False
 
     def recorded(self) -> Whole | Refusal | None:
         """Return the recorded answer of an earlier call of this key, if any."""
-        view = self.desk.claim_of(self.call.key)
+        view = self.claims_client.claim_of(self.call.key)
         if view is None:
             return None
         if view.body_digest != self.call.body_digest:
@@ -48,10 +48,10 @@
     async def win(self, run: RunId) -> Refusal | Unknown | Whole | None:
         """Claim the call for a run; None if the claim is won."""
         key = self.call.key
-        if not self.desk.can_claim(key):
+        if not self.claims_client.can_claim(key):
             return self.log_unavailable()
         self.run = run
-        verdict = await self.desk.claim(
+        verdict = await self.claims_client.claim(
             key, self.call.body_digest, run, self.call.deadline
         )
         match verdict:
@@ -61,7 +61,7 @@
             case ClaimLost():
                 self.run = None
                 await self.until_settled()
-                if self.desk.claim_of(key) is None:
+                if self.claims_client.claim_of(key) is None:
                     return await self.win(run)
                 return self.recorded() or self.unknown()
             case ClaimConflict():
@@ -72,7 +72,9 @@
 
     def log_unavailable(self) -> Refusal:
         """Return the refusal of a call that cannot be claimed now."""
-        return Refusal(NotRun.LOG_UNAVAILABLE, self.desk.retry_after_ms(self.call.key))
+        return Refusal(
+            NotRun.LOG_UNAVAILABLE, self.claims_client.retry_after_ms(self.call.key)
+        )
 
     async def confirm(self) -> None:
         """Read the log up to now before a call of this key is refused.
@@ -84,22 +86,22 @@
         call = self.call
         if call.idempotent or not call.has_key:
             return
-        if self.run is None and self.desk.can_claim(call.key):
-            await self.desk.read_up_to_now(call.key, CONFIRM_PATIENCE_S)
+        if self.run is None and self.claims_client.can_claim(call.key):
+            await self.claims_client.read_up_to_now(call.key, CONFIRM_PATIENCE_S)
         await self.until_settled()
 
     async def until_settled(self) -> None:
         """Give another run's claim a moment to be freed or to get its answer."""
         left = max(0.0, self.call.deadline - monotonic())
         patience = min(SETTLE_PATIENCE_S, left)
-        await self.desk.until_settled(self.call.key, self.run, patience)
+        await self.claims_client.until_settled(self.call.key, self.run, patience)
 
     def honest(self, refusal: Refusal) -> Refusal | Unknown | Whole:
         """Return what may be said in place of a refusal.
 
         "Not run" may be said of a key only if no other run has claimed it.
         """
-        view = self.desk.claim_of(self.call.key)
+        view = self.claims_client.claim_of(self.call.key)
         if self.call.idempotent or view is None or view.run == self.run:
             return refusal
         return self.recorded() or self.unknown()
@@ -111,7 +113,9 @@
     def record(self, status: int, content_type: str, body: bytes) -> None:
         """Record the answer for retries."""
         if self.is_won and self.run is not None:
-            self.desk.record(self.call.key, self.run, status, content_type, body)
+            self.claims_client.record(
+                self.call.key, self.run, status, content_type, body
+            )
 
     def record_failure(self, message: str) -> None:
         """Record that the call ran and failed."""
@@ -121,6 +125,6 @@
     def void(self) -> None:
         """Free the key: the call did not run, and the claim cannot win later."""
         if self.run is not None:
-            self.desk.void(self.call.key, self.run)
+            self.claims_client.void(self.call.key, self.run)
             self.run = None
             self.is_won = False
--- a/tests/unit/entry/test_claims.py
+++ b/tests/unit/entry/test_claims.py
@@ -33,28 +33,28 @@
 
 async def test_a_claim_that_the_log_swallows_is_given_up_at_once() -> None:
     log = FakeLog()
-    desk = ClaimsClient(ME, 1, LogSettings(log.client(ME), ME, TailSettings()))
+    claims_client = ClaimsClient(ME, 1, LogSettings(log.client(ME), ME, TailSettings()))
     deadline = get_running_loop().time() + FAR_S
     async with timeout(PATIENCE_S):
-        won = await desk.claim(KEY, "d", RunId("r1"), deadline)
+        won = await claims_client.claim(KEY, "d", RunId("r1"), deadline)
         assert isinstance(won, ClaimWon)
         await log.set(outage=True)
-        assert await desk.claim(OTHER, "d", RunId("r2"), deadline) is None
-        desk.void(OTHER, RunId("r2"))
+        assert await claims_client.claim(OTHER, "d", RunId("r2"), deadline) is None
+        claims_client.void(OTHER, RunId("r2"))
         await log.set(outage=False)
 
         async def is_heard() -> bool:
-            return desk.can_claim(OTHER)
+            return claims_client.can_claim(OTHER)
 
         await wait_until(is_heard, "the log is heard again")
-        again = await desk.claim(OTHER, "d", RunId("r3"), deadline)
+        again = await claims_client.claim(OTHER, "d", RunId("r3"), deadline)
         assert isinstance(again, ClaimWon)
-        view = desk.claim_of(OTHER)
+        view = claims_client.claim_of(OTHER)
         assert view is not None and view.run == "r3"
-        await desk.close(1.0)
+        await claims_client.close(1.0)
 
 
-def desk_of(log: FakeLog, claimant: Incarnation) -> ClaimsClient:
+def new_claims_client(log: FakeLog, claimant: Incarnation) -> ClaimsClient:
     return ClaimsClient(
         claimant, 1, LogSettings(log.client(claimant), claimant, TailSettings())
     )
@@ -79,7 +79,7 @@
 @asynccontextmanager
 async def contest() -> AsyncIterator[Contest]:
     log = FakeLog()
-    first, second = desk_of(log, ME), desk_of(log, OTHER_ENTRY)
+    first, second = new_claims_client(log, ME), new_claims_client(log, OTHER_ENTRY)
     deadline = get_running_loop().time() + FAR_S
     async with timeout(PATIENCE_S):
         won = await first.claim(KEY, "d", RunId("r1"), deadline)
@@ -90,9 +90,9 @@
         await second.close(1.0)
 
 
-async def wait_until_heard(desk: ClaimsClient) -> None:
+async def wait_until_heard(claims_client: ClaimsClient) -> None:
     async def is_heard() -> bool:
-        return desk.can_claim(KEY) and desk.claim_of(KEY) is not None
+        return claims_client.can_claim(KEY) and claims_client.claim_of(KEY) is not None
 
     await wait_until(is_heard, "the claim is read")
 
