--- a/libs/entry/src/clementinebend_entry/claimed_calls.py
+++ b/libs/entry/src/clementinebend_entry/claimed_calls.py
@@ -60,7 +60,7 @@
                 return None
             case ClaimLost():
                 self.run = None
-                await self.until_settled()
+                await self.wait_until_settled()
                 if self.claims_client.claim_of(key) is None:
                     return await self.win(run)
                 return self.recorded() or self.unknown()
@@ -88,13 +88,13 @@
             return
         if self.run is None and self.claims_client.can_claim(call.key):
             await self.claims_client.read_up_to_now(call.key, CONFIRM_PATIENCE_S)
-        await self.until_settled()
+        await self.wait_until_settled()
 
-    async def until_settled(self) -> None:
+    async def wait_until_settled(self) -> None:
         """Give another run's claim a moment to be freed or to get its answer."""
         left = max(0.0, self.call.deadline - monotonic())
         patience = min(SETTLE_PATIENCE_S, left)
-        await self.claims_client.until_settled(self.call.key, self.run, patience)
+        await self.claims_client.wait_until_settled(self.call.key, self.run, patience)
 
     def honest(self, refusal: Refusal) -> Refusal | Unknown | Whole:
         """Return what may be said in place of a refusal.
--- a/libs/entry/src/clementinebend_entry/claims.py
+++ b/libs/entry/src/clementinebend_entry/claims.py
@@ -34,7 +34,7 @@
 )
 from clementinebend_records.streams import claims_stream, claims_streams
 
-LOOK_INTERVAL_S = 0.1
+POLL_INTERVAL_S = 0.1
 """How often a waiting claim checks whether the log has failed."""
 
 ClaimVerdict = ClaimWon | ClaimLost | ClaimConflict | ClaimRefused
@@ -60,17 +60,17 @@
     def can_claim(self, key: RequestKey) -> bool:
         """Return whether the log is reachable, so that a claim can be attempted."""
         shard = self.shard_for(key)
-        is_heard = shard.tail.ready.is_set() and not shard.tail.failures
-        return is_heard and shard.writer.failing_since is None
+        is_readable = shard.tail.ready.is_set() and not shard.tail.failures
+        return is_readable and shard.writer.failing_since is None
 
     def retry_after_ms(self, key: RequestKey) -> int:
         """Return the retry delay of a call refused because the log is unavailable."""
         shard = self.shard_for(key)
-        heard = shard.tail.caught_up_at
+        last_read_at = shard.tail.caught_up_at
         failing = shard.tail.failures or shard.writer.failing_since is not None
-        if heard is None or not failing:
+        if last_read_at is None or not failing:
             return outage_retry_ms(0.0)
-        return outage_retry_ms(get_running_loop().time() - heard)
+        return outage_retry_ms(get_running_loop().time() - last_read_at)
 
     def claim_of(self, key: RequestKey) -> ClaimView | None:
         """Return the current claim of a key in the records read so far."""
@@ -89,7 +89,7 @@
         self.waiting[run] = verdict
         self.post(key, Claim(key, body_digest, self.claimant, run))
         try:
-            is_decided = await self.until_decided(key, verdict, deadline)
+            is_decided = await self.wait_for_verdict(key, verdict, deadline)
         finally:
             del self.waiting[run]
         if not is_decided:
@@ -99,7 +99,7 @@
         CLAIMS.labels(type(answer).__name__).inc()
         return answer
 
-    async def until_decided(
+    async def wait_for_verdict(
         self, key: RequestKey, verdict: "Future[ClaimVerdict]", deadline: float
     ) -> bool:
         """Wait for a verdict; return false if the claim is abandoned first."""
@@ -109,7 +109,7 @@
             is_failing = shard.failing_for(now) > LOG_PATIENCE_S
             if is_failing or now >= deadline:
                 return False
-            await wait((verdict,), timeout=min(deadline - now, LOOK_INTERVAL_S))
+            await wait((verdict,), timeout=min(deadline - now, POLL_INTERVAL_S))
         return True
 
     def on_outcome(self, outcome: ClaimsOutcome) -> None:
@@ -122,15 +122,15 @@
             self.settled.set()
             self.settled = Event()
 
-    async def until_settled(
-        self, key: RequestKey, run: RunId | None, patience: float
+    async def wait_until_settled(
+        self, key: RequestKey, run: RunId | None, timeout_s: float
     ) -> None:
         """Wait until another run's claim is freed or its answer is recorded.
 
-        Returns after ``patience`` seconds at the latest, and immediately if no
+        Returns after ``timeout_s`` seconds at the latest, and immediately if no
         run other than ``run`` holds a claim.
         """
-        deadline = get_running_loop().time() + patience
+        deadline = get_running_loop().time() + timeout_s
         try:
             async with timeout_at(deadline):
                 while self._is_claimed_by_another(key, run):
@@ -142,15 +142,15 @@
         view = self.claim_of(key)
         return view is not None and view.answer is None and view.run != run
 
-    async def read_up_to_now(self, key: RequestKey, patience: float) -> None:
+    async def read_up_to_now(self, key: RequestKey, timeout_s: float) -> None:
         """Wait until all claims of a key that are already in the log have been read.
 
         Posts a void record of a new run and waits until it is read back, or for
-        ``patience`` seconds.
+        ``timeout_s`` seconds.
         """
         record = ClaimVoid(key, new_run_id(), self.claimant)
         posted = self.shard_for(key).writer.post((record,))
-        await wait((posted,), timeout=patience)
+        await wait((posted,), timeout=timeout_s)
 
     def void(self, key: RequestKey, run: RunId) -> None:
         """Release the key of a call that did not run and will not be run."""
@@ -171,7 +171,7 @@
         """Whether all posted records have been read back."""
         return all(shard.is_flushed for shard in self.shards.values())
 
-    async def close(self, patience: float) -> None:
-        """Flush all shards for up to ``patience`` seconds each, then stop."""
+    async def close(self, timeout_s: float) -> None:
+        """Flush all shards for up to ``timeout_s`` seconds each, then stop."""
         for shard in self.shards.values():
-            await shard.close(patience)
+            await shard.close(timeout_s)
