--- a/libs/entry/src/clementinebend_entry/claimed_calls.py
+++ b/libs/entry/src/clementinebend_entry/claimed_calls.py
@@ -1,4 +1,4 @@
-"""One call that may run at most once, from its claim to its record."""
+"""Claim handling of one call that may run at most once."""
 
 from json import dumps
 from time import monotonic
@@ -15,17 +15,19 @@
 
 BAD_GATEWAY = 502
 CONFIRM_PATIENCE_S = 0.5
-"""How long a refusal may wait for the log."""
+"""How long a refusal may be delayed to read the log up to now."""
 
 SETTLE_PATIENCE_S = 1.0
-"""How long a call waits for another run's claim to be freed or answered. A
-claim that was given up in an outage is appended when the log is back, and freed
-by the next append of its writer, 0.04 s or a few of its back-offs of 0.1 s later.
+"""How long a call waits for another run's claim to be freed or answered.
+
+A claim that was abandoned during an outage is still appended once the log is
+back, and freed by the next append of its writer: 0.04 s later, or a few of the
+writer's back-offs of 0.1 s.
 """
 
 
 class ClaimedCall:
-    """What is known of a call's claim; for idempotent calls nothing is done."""
+    """The claim of one call; idempotent calls do not need one."""
 
     def __init__(self, claims_client: ClaimsClient, call: Call) -> None:
         self.claims_client = claims_client
@@ -46,7 +48,7 @@
         return Whole(*view.answer)
 
     async def win(self, run: RunId) -> Refusal | Unknown | Whole | None:
-        """Claim the call for a run; None if the claim is won."""
+        """Claim the call for a run; return None on success, else the outcome."""
         key = self.call.key
         if not self.claims_client.can_claim(key):
             return self.log_unavailable()
@@ -71,7 +73,7 @@
                 return self.log_unavailable()
 
     def log_unavailable(self) -> Refusal:
-        """Return the refusal of a call that cannot be claimed now."""
+        """Return the refusal for a call that cannot be claimed at present."""
         return Refusal(
             NotRun.LOG_UNAVAILABLE, self.claims_client.retry_after_ms(self.call.key)
         )
@@ -79,9 +81,10 @@
     async def confirm(self) -> None:
         """Read the log up to now before a call of this key is refused.
 
-        A void record of a run that never was is read back: no claim precedes
-        it unless it is known here then. While the log does not answer, what
-        was read so far has to do. A claim found there may be about to be freed.
+        Posts a void record of an unused run and waits until it is read back;
+        every claim that precedes it in the log is then known here. While the log
+        is unavailable, only the records read so far are considered. If another
+        run's claim is found, it may be about to be freed, so wait for that too.
         """
         call = self.call
         if call.idempotent or not call.has_key:
@@ -91,15 +94,16 @@
         await self.wait_until_settled()
 
     async def wait_until_settled(self) -> None:
-        """Give another run's claim a moment to be freed or to get its answer."""
+        """Wait for another run's claim to be freed or its answer to be recorded."""
         left = max(0.0, self.call.deadline - monotonic())
         patience = min(SETTLE_PATIENCE_S, left)
         await self.claims_client.wait_until_settled(self.call.key, self.run, patience)
 
     def honest(self, refusal: Refusal) -> Refusal | Unknown | Whole:
-        """Return what may be said in place of a refusal.
+        """Return the outcome to report in place of a refusal.
 
-        "Not run" may be said of a key only if no other run has claimed it.
+        A refusal tells the caller that the call did not run, which is true only
+        if no other run has claimed the key.
         """
         view = self.claims_client.claim_of(self.call.key)
         if self.call.idempotent or view is None or view.run == self.run:
@@ -107,11 +111,11 @@
         return self.recorded() or self.unknown()
 
     def unknown(self) -> Unknown:
-        """Return what a retry is told while the claimant's run has no record."""
+        """Return the outcome of a retry while no answer is recorded."""
         return Unknown("an earlier call of this key may have run")
 
     def record(self, status: int, content_type: str, body: bytes) -> None:
-        """Record the answer for retries."""
+        """Record the answer so that retries receive it."""
         if self.is_won and self.run is not None:
             self.claims_client.record(
                 self.call.key, self.run, status, content_type, body
@@ -123,7 +127,7 @@
         self.record(BAD_GATEWAY, JSON, body)
 
     def void(self) -> None:
-        """Free the key: the call did not run, and the claim cannot win later."""
+        """Release the key of a call that did not run; its claim cannot win later."""
         if self.run is not None:
             self.claims_client.void(self.call.key, self.run)
             self.run = None
