--- a/libs/entry/src/clementinebend_entry/call_state.py
+++ b/libs/entry/src/clementinebend_entry/call_state.py
@@ -79,7 +79,7 @@
     def tell(self, outcome: Trouble | Whole) -> None:
         """Hand the outcome to the one who answers the caller."""
         if isinstance(outcome, Refusal):
-            outcome = self.claim.honest(outcome)
+            outcome = self.claim.checked_refusal(outcome)
         self.output.finish(outcome)
 
     def drop_pointer(self) -> None:
--- a/libs/entry/src/clementinebend_entry/claimed_calls.py
+++ b/libs/entry/src/clementinebend_entry/claimed_calls.py
@@ -14,10 +14,10 @@
 from clementinebend_records.reasons import NotRun
 
 BAD_GATEWAY = 502
-CONFIRM_PATIENCE_S = 0.5
+CONFIRM_TIMEOUT_S = 0.5
 """How long a refusal may be delayed to read the log up to now."""
 
-SETTLE_PATIENCE_S = 1.0
+SETTLE_TIMEOUT_S = 1.0
 """How long a call waits for another run's claim to be freed or answered.
 
 A claim that was abandoned during an outage is still appended once the log is
@@ -35,7 +35,7 @@
         self.run: RunId | None = None
         self.is_won = False
 
-    def recorded(self) -> Whole | Refusal | None:
+    def recorded_answer(self) -> Whole | Refusal | None:
         """Return the recorded answer of an earlier call of this key, if any."""
         view = self.claims_client.claim_of(self.call.key)
         if view is None:
@@ -47,7 +47,7 @@
         ATTACHMENTS.labels("recorded").inc()
         return Whole(*view.answer)
 
-    async def win(self, run: RunId) -> Refusal | Unknown | Whole | None:
+    async def acquire(self, run: RunId) -> Refusal | Unknown | Whole | None:
         """Claim the call for a run; return None on success, else the outcome."""
         key = self.call.key
         if not self.claims_client.can_claim(key):
@@ -64,8 +64,8 @@
                 self.run = None
                 await self.wait_until_settled()
                 if self.claims_client.claim_of(key) is None:
-                    return await self.win(run)
-                return self.recorded() or self.unknown()
+                    return await self.acquire(run)
+                return self.recorded_answer() or self.unknown_outcome()
             case ClaimConflict():
                 self.run = None
                 return Refusal(NotRun.KEY_CONFLICT, 0)
@@ -78,7 +78,7 @@
             NotRun.LOG_UNAVAILABLE, self.claims_client.retry_after_ms(self.call.key)
         )
 
-    async def confirm(self) -> None:
+    async def confirm_refusal(self) -> None:
         """Read the log up to now before a call of this key is refused.
 
         Posts a void record of an unused run and waits until it is read back;
@@ -90,16 +90,16 @@
         if call.idempotent or not call.has_key:
             return
         if self.run is None and self.claims_client.can_claim(call.key):
-            await self.claims_client.read_up_to_now(call.key, CONFIRM_PATIENCE_S)
+            await self.claims_client.read_up_to_now(call.key, CONFIRM_TIMEOUT_S)
         await self.wait_until_settled()
 
     async def wait_until_settled(self) -> None:
         """Wait for another run's claim to be freed or its answer to be recorded."""
-        left = max(0.0, self.call.deadline - monotonic())
-        patience = min(SETTLE_PATIENCE_S, left)
-        await self.claims_client.wait_until_settled(self.call.key, self.run, patience)
+        remaining_s = max(0.0, self.call.deadline - monotonic())
+        timeout_s = min(SETTLE_TIMEOUT_S, remaining_s)
+        await self.claims_client.wait_until_settled(self.call.key, self.run, timeout_s)
 
-    def honest(self, refusal: Refusal) -> Refusal | Unknown | Whole:
+    def checked_refusal(self, refusal: Refusal) -> Refusal | Unknown | Whole:
         """Return the outcome to report in place of a refusal.
 
         A refusal tells the caller that the call did not run, which is true only
@@ -108,9 +108,9 @@
         view = self.claims_client.claim_of(self.call.key)
         if self.call.idempotent or view is None or view.run == self.run:
             return refusal
-        return self.recorded() or self.unknown()
+        return self.recorded_answer() or self.unknown_outcome()
 
-    def unknown(self) -> Unknown:
+    def unknown_outcome(self) -> Unknown:
         """Return the outcome of a retry while no answer is recorded."""
         return Unknown("an earlier call of this key may have run")
 
--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -148,7 +148,7 @@
         """Answer a retry of a claimed call from its record, if there is one."""
         if self.call.idempotent or self.claim.is_won:
             return False
-        piece = self.claim.recorded()
+        piece = self.claim.recorded_answer()
         if piece is not None:
             self.end(piece)
         return piece is not None
@@ -157,7 +157,7 @@
         """Win the claim of a call that may run at most once."""
         if self.call.idempotent or self.claim.is_won:
             return True
-        trouble = await self.claim.win(self.run_id)
+        trouble = await self.claim.acquire(self.run_id)
         if trouble is None:
             return True
         if isinstance(trouble, Refusal):
@@ -206,7 +206,7 @@
         if self.ended:
             return
         trouble = self.account.trouble() or self.earlier
-        await self.claim.confirm()
+        await self.claim.confirm_refusal()
         self.end(trouble or refusal)
         if trouble is None:
             self.claim.void()
--- a/tests/unit/entry/test_claims.py
+++ b/tests/unit/entry/test_claims.py
@@ -111,7 +111,7 @@
     None
 ):
     async with contest() as held:
-        winning = create_task(held.claim.win(RunId("r2")))
+        winning = create_task(held.claim.acquire(RunId("r2")))
         await free_after_the_next_batch(held)
         assert await winning is None
         assert held.claim.is_won
@@ -121,13 +121,13 @@
 
 async def test_a_refusal_waits_for_a_claim_that_is_about_to_be_freed() -> None:
     async with contest() as held:
-        confirming = create_task(held.claim.confirm())
+        confirming = create_task(held.claim.confirm_refusal())
         await free_after_the_next_batch(held)
         await confirming
         refusal = Refusal(NotRun.LOG_UNAVAILABLE, 0)
-        assert held.claim.honest(refusal) == refusal
+        assert held.claim.checked_refusal(refusal) == refusal
 
 
 async def test_a_claim_that_stands_is_told_as_unknown_in_the_end() -> None:
     async with contest() as held:
-        assert isinstance(await held.claim.win(RunId("r2")), Unknown)
+        assert isinstance(await held.claim.acquire(RunId("r2")), Unknown)
