--- a/libs/entry/src/clementinebend_entry/closer.py
+++ b/libs/entry/src/clementinebend_entry/closer.py
@@ -1,4 +1,4 @@
-"""The task that closes dead holders and collects what their witnesses know."""
+"""Background task that closes dead holders and collects their witnesses' receipts."""
 
 from asyncio import get_running_loop, sleep
 from collections.abc import Iterable
@@ -36,11 +36,14 @@
 logger = getLogger(__name__)
 
 REPEAT_S = 30.0
-"""After this time a record that had no effect is posted again."""
+"""Minimum time before a record that had no effect is posted again."""
 
 
 class Closer:
-    """Acts on what the ledger shards show; its records repeat harmlessly."""
+    """Closes holders by the state of the ledger shards.
+
+    Its records are idempotent, so several entries may append them.
+    """
 
     def __init__(
         self,
@@ -62,7 +65,7 @@
         self.posted: dict[tuple[str, ...], float] = {}
 
     async def run(self) -> None:
-        """Look at all shards again and again."""
+        """Check all ready shards periodically, forever."""
         while True:
             await sleep(NOTICE_INTERVAL_S)
             entries = self.entries()
@@ -71,7 +74,7 @@
                     self.look(shard, entries)
 
     def entries(self) -> Entries:
-        """Return what is seen of the other entries now."""
+        """Return the current view of the other entries."""
         now = self.loop.time()
         return Entries(
             self.ledger.name,
@@ -81,7 +84,7 @@
         )
 
     def look(self, shard: LedgerShard, entries: Entries) -> None:
-        """Close what is to be closed in a shard, and ask its witnesses."""
+        """Close the holders of a shard that are due, and notify their witnesses."""
         for holder in shard.state.holders:
             if name_of(holder) != entries.name:
                 self.reach.on_holder(holder, self.loop.time())
@@ -105,7 +108,7 @@
     def is_turn(
         self, shard: LedgerShard, holder: Incarnation, entries: Entries
     ) -> bool:
-        """Return whether this entry is to look after a closed holder by now."""
+        """Return whether this entry is responsible for a closed holder by now."""
         if name_of(holder) == entries.name:
             return True
         now = self.loop.time()
@@ -113,7 +116,7 @@
         return now - since >= turn_delay(holder, entries)
 
     def close(self, shard: LedgerShard, holder: Incarnation) -> None:
-        """Append the close of a holder, once."""
+        """Append the close of a holder, unless it was posted recently."""
         if not self.is_first(shard.stream, holder):
             return
         logger.info("%s: closing holder %s", shard.stream, holder)
@@ -122,7 +125,10 @@
         self.ledger.shards.post(shard, (HolderClose(holder, self.ledger.incarnation),))
 
     def is_first(self, *subject: str) -> bool:
-        """Return whether a record is to be posted; again only after a long time."""
+        """Return whether a record is due to be posted, and note that it is.
+
+        A record posted in the last ``REPEAT_S`` seconds is not due again.
+        """
         now = self.loop.time()
         if now - self.posted.get(subject, float("-inf")) < REPEAT_S:
             return False
@@ -130,7 +136,10 @@
         return True
 
     def ask(self, shard: LedgerShard, notice: Notice) -> None:
-        """Send a notice to a witness, or note that it is lost."""
+        """Send a close notice to a witness.
+
+        If the sidecar now runs as another incarnation, it is acknowledged as lost.
+        """
         if notice.witness in self.ledger.holders.incarnations():
             reply = self.own.close(shard.stream, notice.holder)
             self.on_reply(reply._replace(witness=notice.witness))
@@ -146,11 +155,11 @@
             self.acknowledge(shard, notice, (), lost=True)
 
     def link_to(self, name: str, is_sidecar: bool) -> MessageLink | None:
-        """Return the link to a witness."""
+        """Return the link to a sidecar or peer by name."""
         return self.sidecars.link_to(name) if is_sidecar else self.peers.links.get(name)
 
     def on_reply(self, reply: CloseReply) -> None:
-        """Bill what a witness knows, and log that it refuses the holder."""
+        """Settle the receipts of a witness and append its acknowledgement."""
         if reply.pending:
             return
         for shard in self.ledger.shards.by_stream.values():
@@ -167,7 +176,7 @@
         receipts: Iterable[Receipt],
         lost: bool = False,
     ) -> None:
-        """Append receipts and acknowledgement in one batch, once."""
+        """Append receipts and acknowledgement in one batch, unless done recently."""
         if not self.is_first(shard.stream, notice.holder, notice.witness):
             return
         CLOSES.labels("lost" if lost else "acknowledged").inc()
@@ -180,7 +189,7 @@
     def of_shard(
         self, receipts: Iterable[Receipt], shard: LedgerShard
     ) -> tuple[Receipt, ...]:
-        """Return the receipts whose budgets belong to a shard."""
+        """Return the receipts whose budgets are stored in a shard."""
         count = self.ledger.shards.count
         return tuple(
             receipt
@@ -192,7 +201,7 @@
 def witness_status(
     state: LedgerState, holder: Incarnation, witness: Incarnation
 ) -> int | None:
-    """Return what the log knows of a witness of a closed holder."""
+    """Return a witness's status in the log; None if the holder is not closed."""
     entry = state.holders.get(holder)
     if entry is None or not entry["closed"]:
         return None
