--- a/libs/entry/src/clementinebend_entry/closer.py
+++ b/libs/entry/src/clementinebend_entry/closer.py
@@ -39,7 +39,7 @@
 """Minimum time before a record that had no effect is posted again."""
 
 
-class Closer:
+class HolderCloser:
     """Closes holders by the state of the ledger shards.
 
     Its records are idempotent, so several entries may append them.
--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -11,7 +11,7 @@
 from clementinebend_entry.admission_gate import AdmissionGate
 from clementinebend_entry.borrower import Borrower
 from clementinebend_entry.claims import ClaimsClient
-from clementinebend_entry.closer import Closer
+from clementinebend_entry.closer import HolderCloser
 from clementinebend_entry.configuration import ConfigurationKeeper
 from clementinebend_entry.heartbeat import heartbeat_interval
 from clementinebend_entry.ledger import Ledger
@@ -95,7 +95,7 @@
             self.configuration.give,
             stop.set,
         )
-        self.closer = Closer(
+        self.closer = HolderCloser(
             self.ledger,
             self.pool,
             self.peers,
