--- a/libs/entry/src/clementinebend_entry/closer.py
+++ b/libs/entry/src/clementinebend_entry/closer.py
@@ -35,7 +35,7 @@
 
 logger = getLogger(__name__)
 
-REPEAT_S = 30.0
+REPOST_INTERVAL_S = 30.0
 """Minimum time before a record that had no effect is posted again."""
 
 
@@ -71,7 +71,7 @@
             entries = self.entries()
             for shard in self.ledger.shards.by_stream.values():
                 if shard.is_ready:
-                    self.look(shard, entries)
+                    self.process_shard(shard, entries)
 
     def entries(self) -> Entries:
         """Return the current view of the other entries."""
@@ -83,7 +83,7 @@
             self.reach.overdue(now),
         )
 
-    def look(self, shard: LedgerShard, entries: Entries) -> None:
+    def process_shard(self, shard: LedgerShard, entries: Entries) -> None:
         """Close the holders of a shard that are due, and notify their witnesses."""
         for holder in shard.state.holders:
             if name_of(holder) != entries.name:
@@ -93,7 +93,7 @@
         notices = [
             notice
             for notice in open_notices(shard.state)
-            if self.is_turn(shard, notice.holder, entries)
+            if self.is_responsible(shard, notice.holder, entries)
         ]
         current = {
             name: link.peer.incarnation
@@ -103,9 +103,9 @@
         for witness in gone_peers(notices, current, shard.state):
             self.close(shard, witness)
         for notice in notices:
-            self.ask(shard, notice)
+            self.send_notice(shard, notice)
 
-    def is_turn(
+    def is_responsible(
         self, shard: LedgerShard, holder: Incarnation, entries: Entries
     ) -> bool:
         """Return whether this entry is responsible for a closed holder by now."""
@@ -117,25 +117,25 @@
 
     def close(self, shard: LedgerShard, holder: Incarnation) -> None:
         """Append the close of a holder, unless it was posted recently."""
-        if not self.is_first(shard.stream, holder):
+        if not self.should_post(shard.stream, holder):
             return
         logger.info("%s: closing holder %s", shard.stream, holder)
         CLOSES.labels("close").inc()
         self.reach.on_close(name_of(holder))
         self.ledger.shards.post(shard, (HolderClose(holder, self.ledger.incarnation),))
 
-    def is_first(self, *subject: str) -> bool:
+    def should_post(self, *subject: str) -> bool:
         """Return whether a record is due to be posted, and note that it is.
 
-        A record posted in the last ``REPEAT_S`` seconds is not due again.
+        A record posted in the last ``REPOST_INTERVAL_S`` seconds is not due again.
         """
         now = self.loop.time()
-        if now - self.posted.get(subject, float("-inf")) < REPEAT_S:
+        if now - self.posted.get(subject, float("-inf")) < REPOST_INTERVAL_S:
             return False
         self.posted[subject] = now
         return True
 
-    def ask(self, shard: LedgerShard, notice: Notice) -> None:
+    def send_notice(self, shard: LedgerShard, notice: Notice) -> None:
         """Send a close notice to a witness.
 
         If the sidecar now runs as another incarnation, it is acknowledged as lost.
@@ -166,7 +166,7 @@
             status = witness_status(shard.state, reply.holder, reply.witness)
             if status == WitnessStatus.OPEN:
                 notice = Notice(reply.holder, reply.witness, True)
-                known = self.of_shard(reply.receipts, shard)
+                known = self.receipts_of_shard(reply.receipts, shard)
                 self.acknowledge(shard, notice, known)
 
     def acknowledge(
@@ -177,7 +177,7 @@
         lost: bool = False,
     ) -> None:
         """Append receipts and acknowledgement in one batch, unless done recently."""
-        if not self.is_first(shard.stream, notice.holder, notice.witness):
+        if not self.should_post(shard.stream, notice.holder, notice.witness):
             return
         CLOSES.labels("lost" if lost else "acknowledged").inc()
         known = tuple(receipts)
@@ -186,7 +186,7 @@
         ack = CloseAck(notice.holder, notice.witness, lost)
         self.ledger.shards.post(shard, (*settles_of(known), ack))
 
-    def of_shard(
+    def receipts_of_shard(
         self, receipts: Iterable[Receipt], shard: LedgerShard
     ) -> tuple[Receipt, ...]:
         """Return the receipts whose budgets are stored in a shard."""
