--- a/libs/entry/src/clementinebend_entry/closing.py
+++ b/libs/entry/src/clementinebend_entry/closing.py
@@ -1,10 +1,10 @@
-"""Which holders to close, and which witnesses to ask; pure.
+"""Pure functions that select the holders to close and the witnesses to notify.
 
-A predecessor of this entry's own incarnation is closed at once. A holder of
-another entry is closed when that entry has been out of reach for a while and
-wrote nothing to the log since. A live holder that is closed by mistake goes
-on as a new incarnation, so each close doubles the patience with its entry.
-Entries act one after another, in rendezvous order.
+A holder of an earlier incarnation of this entry is closed immediately. A holder
+of another entry is closed once that entry has been unreachable for some time
+and has written nothing to the log meanwhile. A live holder that is closed by
+mistake continues as a new incarnation, so each close doubles the time limit
+for its entry. Entries act one after another, in rendezvous order.
 """
 
 from collections.abc import Iterable, Mapping
@@ -20,11 +20,11 @@
 
 
 class Entries(NamedTuple):
-    """What this entry sees of the others.
+    """View of all entries as seen by this one.
 
-    ``own`` are the holders of this very process, ``live`` the entries in reach.
-    ``overdue`` is for how long each dead entry's holders have been due to be
-    closed, in seconds.
+    ``own`` holds the holders of this process, ``live`` the reachable entries.
+    ``overdue`` maps each unreachable entry to the seconds since its holders became
+    due for closing.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 
 def holders_to_close(state: LedgerState, entries: Entries) -> tuple[Incarnation, ...]:
-    """Return the holders that this entry is to close now."""
+    """Return the holders that this entry must close now."""
     open_holders = (
         holder for holder, entry in state.holders.items() if not entry["closed"]
     )
@@ -50,7 +50,7 @@
 
 
 def open_notices(state: LedgerState) -> tuple[Notice, ...]:
-    """Return the witnesses of closed holders that are still to be asked."""
+    """Return the witnesses of closed holders with no acknowledgement yet."""
     return tuple(
         Notice(holder, witness, is_sidecar)
         for holder, entry in state.holders.items()
@@ -67,7 +67,7 @@
 def gone_peers(
     notices: Iterable[Notice], peers: Mapping[str, Incarnation], state: LedgerState
 ) -> tuple[Incarnation, ...]:
-    """Return peer witnesses that have been replaced and are not closed yet."""
+    """Return peer witnesses with a newer incarnation that are not closed yet."""
     witnesses = {notice.witness for notice in notices if not notice.is_sidecar}
     return tuple(
         witness
@@ -78,7 +78,10 @@
 
 
 def turn_delay(subject: str, entries: Entries) -> float:
-    """Return for how many seconds this entry leaves a subject to others."""
+    """Return how long this entry waits for others to handle a subject, in seconds.
+
+    Entries are staggered by ``STAGGER_S`` in rendezvous order.
+    """
     names = sorted({entries.name, *entries.live})
     return STAGGER_S * rendezvous(subject, names, len(names)).index(entries.name)
 
