--- a/libs/entry/src/clementinebend_entry/conclusions.py
+++ b/libs/entry/src/clementinebend_entry/conclusions.py
@@ -1,7 +1,7 @@
-"""What becomes of a call with the result of a run: it ends, or tries again.
+"""Handles the result of a run: the call ends, or is retried.
 
-``conclude`` returns the refusal with which the call is to be given up, if the
-result leaves nothing else; otherwise the call has ended, or goes on.
+``conclude`` returns a refusal if the call must be refused. If it returns None,
+the call has ended, or continues with another attempt.
 """
 
 from functools import singledispatch
@@ -20,24 +20,24 @@
 from clementinebend_records.reasons import NotRun
 
 FINAL_REFUSALS = frozenset((NotRun.KEY_CONFLICT, NotRun.CANCELLED))
-"""Refusals that another endpoint would not change."""
+"""Refusals that every other endpoint would repeat, so the call is not retried."""
 
 PLANNED_REFUSALS = frozenset(
     (NotRun.LEAVING, NotRun.WRONG_INCARNATION, NotRun.HOLDER_CLOSED)
 )
-"""Refusals by which a sidecar corrects what this entry believed.
+"""Refusals by which a sidecar corrects this entry's outdated view of it.
 
-Further attempts after these are no load on anybody and end with the view
-corrected, so they are outside the retry budget: a planned stop of a sidecar
-under load must not refuse requests that another could have run. A request
-asks each endpoint once at most.
+Retries after these are exempt from the retry budget: they add no load, and stop
+once the view is corrected, since a request tries each endpoint at most once.
+Otherwise a planned stop of a sidecar under load would refuse requests that
+another endpoint could have run.
 """
 
 
 @singledispatch
 async def conclude(result: Any, state: CallState) -> Refusal | None:
-    """Take the result of a run."""
-    raise TypeError(f"no run result: {result!r}")
+    """Handle the result of a run; return a refusal if the call must be refused."""
+    raise TypeError(f"unsupported run result: {result!r}")
 
 
 @conclude.register(RunWhole)
--- a/libs/entry/src/clementinebend_entry/joining.py
+++ b/libs/entry/src/clementinebend_entry/joining.py
@@ -1,7 +1,7 @@
-"""What a call does when its key has a run already: it joins that one.
+"""Joins a call to an earlier run of its key.
 
-Like ``conclude``, these return the refusal with which the call is to be given
-up, if there is nothing else.
+Like ``conclude``, these functions return a refusal if the call must be
+refused.
 """
 
 from clementinebend_entry.attachment import Attached, attach
@@ -18,14 +18,14 @@
 from clementinebend_records.reasons import NotRun
 
 NOWHERE = ""
-"""The endpoint in a pointer that only asks whether another one stands."""
+"""The endpoint in a pointer that only queries for an earlier run."""
 
 
 async def join(state: CallState, standing: Standing) -> Refusal | None:
-    """Relay the answer of the run that the key has already.
+    """Relay the answer of the earlier run of the key.
 
-    A pointer to a run that gives no answer is dropped, and the call goes on by
-    itself; whether it may still run is then for its claim to say.
+    If that run cannot be attached to, its pointer is dropped and the call
+    continues on its own; its claim then decides whether it may still run.
     """
     state.account.withdraw()
     if standing.body_digest != state.call.body_digest:
@@ -43,10 +43,11 @@
 
 
 async def join_earlier(state: CallState) -> Refusal | None:
-    """Join the key's earlier run, if one is known.
+    """Join the earlier run of the key, if one is known.
 
-    For idempotent work that is about to be refused: "not run" must not be said
-    of a key that runs elsewhere. Claims say so of other calls.
+    Called before an idempotent call is refused: a refusal reports that the call
+    did not run, which must not be said of a key that runs elsewhere. For other
+    calls the claim makes this check.
     """
     call = state.call
     may_run_elsewhere = call.has_key and call.idempotent and not state.account.lost
@@ -63,10 +64,10 @@
 async def take_joined(
     state: CallState, result: RunResult, standing: Standing
 ) -> Refusal | None:
-    """Take the result of a run that another request began.
+    """Handle the result of a run that another request started.
 
-    If that failed, idempotent work runs again: it is this request's first run
-    and so outside the retry budget.
+    If that run failed, an idempotent call runs again. That is this request's
+    first run, so it is exempt from the retry budget.
     """
     is_final = isinstance(result, RunWhole) or (
         isinstance(result, RunNotRun) and result.reason in FINAL_REFUSALS
@@ -81,7 +82,7 @@
 
 
 def _trouble_of(result: RunResult) -> Trouble | None:
-    """Return what is to be told if the key's next run is refused."""
+    """Return the outcome to report if the next run of the key is refused."""
     match result:
         case RunNotRun():
             return None
