--- a/libs/entry/src/clementinebend_entry/following.py
+++ b/libs/entry/src/clementinebend_entry/following.py
@@ -1,9 +1,10 @@
-"""Follows one run at one sidecar to its end, over connections that may break.
+"""Follows one run at one sidecar to its end, across reconnects.
 
-The opening message is sent again over each new connection. A ``RunStart`` of
-a run that the sidecar knows attaches to it, one that it has never seen starts
-it once, and with no time left it is refused and remembered as refused. So
-repeating it is safe for any call, and settles whether the run took place.
+The opening message is sent again over each new connection. If the sidecar knows
+the run of a ``RunStart``, the message attaches to that run; otherwise it starts
+the run once. If no time is left, the sidecar refuses the run and remembers the
+refusal. Repeating the message is therefore safe for any call, and determines
+whether the run took place.
 """
 
 from asyncio import Queue, timeout
@@ -38,7 +39,7 @@
 
 MILLISECONDS = 1000
 UNKNOWN_REASON = NotRun.CANCELLED
-"""Stands for a reason that only a newer sidecar knows."""
+"""Used in place of a reason that only a newer sidecar knows."""
 
 Opening = RunStart | RunAttach
 
@@ -46,8 +47,8 @@
 class Follower:
     """Follows a run that ``opening`` starts or attaches to.
 
-    ``patience`` bounds each time without a connection, in seconds; None waits
-    for as long as it takes. ``deadline`` is in monotonic seconds.
+    ``follow`` takes the maximum time without a connection, in seconds; None sets
+    no limit. ``deadline`` is in monotonic seconds.
     """
 
     def __init__(
@@ -66,13 +67,13 @@
 
     @property
     def run(self) -> RunId:
-        """The id under which the sidecar tells of the run."""
+        """The run id that the sidecar uses in its messages on this run."""
         if isinstance(self.opening, RunStart):
             return self.opening.run
         return self.opening.attachment
 
     async def follow(self, patience: float | None) -> RunResult:
-        """Open the run and take its messages until it has ended."""
+        """Open the run and handle its messages until it has ended."""
         events = self.link.open_run(self.run)
         try:
             self.open()
@@ -83,7 +84,7 @@
     async def take_all(
         self, events: "Queue[RunEvent]", patience: float | None
     ) -> RunResult:
-        """Take messages until one of them ends the run."""
+        """Handle events until one of them ends the run."""
         while True:
             event = await events.get()
             result = take(event, self.output)
@@ -108,7 +109,7 @@
         return None
 
     def open(self) -> None:
-        """Send the opening message with the time that is left."""
+        """Send the opening message with the remaining time."""
         opening = self.opening
         if isinstance(opening, RunStart):
             left = max(0, int((self.deadline - monotonic()) * MILLISECONDS))
@@ -118,7 +119,7 @@
 
 @singledispatch
 def take(event: Any, output: AnswerOutput) -> RunResult | None:
-    """Take one event of a run; return the result if it ends the run."""
+    """Handle one event of a run; return the result if it ends the run."""
     return None
 
 
