--- a/libs/entry/src/clementinebend_entry/following.py
+++ b/libs/entry/src/clementinebend_entry/following.py
@@ -38,7 +38,7 @@
 from clementinebend_records.reasons import NotRun
 
 MILLISECONDS = 1000
-UNKNOWN_REASON = NotRun.CANCELLED
+FALLBACK_REASON = NotRun.CANCELLED
 """Used in place of a reason that only a newer sidecar knows."""
 
 Opening = RunStart | RunAttach
@@ -72,31 +72,31 @@
             return self.opening.run
         return self.opening.attachment
 
-    async def follow(self, patience: float | None) -> RunResult:
+    async def follow(self, reconnect_timeout: float | None) -> RunResult:
         """Open the run and handle its messages until it has ended."""
         events = self.link.open_run(self.run)
         try:
-            self.open()
-            return await self.take_all(events, patience)
+            self.send_opening()
+            return await self.handle_events(events, reconnect_timeout)
         finally:
             self.link.close_run(self.run)
 
-    async def take_all(
-        self, events: "Queue[RunEvent]", patience: float | None
+    async def handle_events(
+        self, events: "Queue[RunEvent]", reconnect_timeout: float | None
     ) -> RunResult:
         """Handle events until one of them ends the run."""
         while True:
             event = await events.get()
-            result = take(event, self.output)
+            result = handle_event(event, self.output)
             if isinstance(event, LinkLost):
-                result = await self.reopen(patience)
+                result = await self.reopen(reconnect_timeout)
             if result is not None:
                 return result
 
-    async def reopen(self, patience: float | None) -> RunResult | None:
+    async def reopen(self, reconnect_timeout: float | None) -> RunResult | None:
         """Wait for a new connection and open the run again there."""
         try:
-            async with timeout(patience):
+            async with timeout(reconnect_timeout):
                 await self.link.up.wait()
         except TimeoutError:
             return SidecarUnreachable()
@@ -105,51 +105,51 @@
             return SidecarGone()
         ATTACHMENTS.labels("link_lost").inc()
         self.output.tell_again()
-        self.open()
+        self.send_opening()
         return None
 
-    def open(self) -> None:
+    def send_opening(self) -> None:
         """Send the opening message with the remaining time."""
         opening = self.opening
         if isinstance(opening, RunStart):
-            left = max(0, int((self.deadline - monotonic()) * MILLISECONDS))
-            opening = opening._replace(deadline_ms=left)
+            remaining_ms = max(0, int((self.deadline - monotonic()) * MILLISECONDS))
+            opening = opening._replace(deadline_ms=remaining_ms)
         self.link.post(opening)
 
 
 @singledispatch
-def take(event: Any, output: AnswerOutput) -> RunResult | None:
+def handle_event(event: Any, output: AnswerOutput) -> RunResult | None:
     """Handle one event of a run; return the result if it ends the run."""
     return None
 
 
-@take.register
+@handle_event.register
 def _(event: RunHead, output: AnswerOutput) -> RunResult | None:
     output.head(event)
     return None
 
 
-@take.register
+@handle_event.register
 def _(event: RunChunk, output: AnswerOutput) -> RunResult | None:
     output.chunk(event)
     return None
 
 
-@take.register
+@handle_event.register
 def _(event: RunEnd, output: AnswerOutput) -> RunResult | None:
     output.end(event)
     return RunWhole(event.receipt)
 
 
-@take.register
+@handle_event.register
 def _(event: RunFailed, output: AnswerOutput) -> RunResult | None:
     if event.receipt is None:
         return RunUncertain(event.message)
     return RunBroke(event.message, event.receipt)
 
 
-@take.register
+@handle_event.register
 def _(event: RunRefused, output: AnswerOutput) -> RunResult | None:
     known = set(NotRun)
-    reason = NotRun(event.reason) if event.reason in known else UNKNOWN_REASON
+    reason = NotRun(event.reason) if event.reason in known else FALLBACK_REASON
     return RunNotRun(reason, event.retry_after_ms)
--- a/libs/entry/src/clementinebend_entry/lost_runs.py
+++ b/libs/entry/src/clementinebend_entry/lost_runs.py
@@ -127,7 +127,7 @@
     try:
         follower = run.follower
         follower.output = AnswerOutput(stream=False)
-        result = await follower.follow(patience=None)
+        result = await follower.follow(reconnect_timeout=None)
     finally:
         UNRESOLVED_RUNS.dec()
     _resolve(result, run, services)
