--- a/libs/entry/src/clementinebend_entry/attachment.py
+++ b/libs/entry/src/clementinebend_entry/attachment.py
@@ -8,7 +8,7 @@
 from clementinebend_entry.calls import Call
 from clementinebend_entry.following import Follower
 from clementinebend_entry.metrics import ATTACHMENTS
-from clementinebend_entry.pointer_desk import Standing
+from clementinebend_entry.pointer_desk import ExistingRun
 from clementinebend_entry.run_results import RunNotRun, RunResult
 from clementinebend_entry.services import Services
 from clementinebend_entry.sidecar_link import SidecarLink
@@ -32,10 +32,10 @@
 
 
 async def attach(
-    services: Services, call: Call, standing: Standing, output: AnswerOutput
+    services: Services, call: Call, existing_run: ExistingRun, output: AnswerOutput
 ) -> Attached | None:
     """Relay the whole answer of an earlier run; None if it cannot be found."""
-    link = services.pool.link_to(standing.endpoint)
+    link = services.pool.link_to(existing_run.endpoint)
     if link is None or not await is_up(link, call.deadline):
         return None
     for _ in range(TRIES):
--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -18,7 +18,7 @@
 from clementinebend_entry.joining import join, join_earlier
 from clementinebend_entry.metrics import RUNS
 from clementinebend_entry.outcomes import Refusal, Unknown
-from clementinebend_entry.pointer_desk import Standing
+from clementinebend_entry.pointer_desk import ExistingRun
 from clementinebend_entry.run_opening import run_start, ticket_for
 from clementinebend_entry.run_results import (
     RunWhole,
@@ -101,9 +101,9 @@
             await self.give_up(self.refusal or Refusal(reason, chosen.retry_after_ms))
             return
         link, choice = chosen
-        standing = await self.place_pointer(choice.endpoint)
-        if standing is not None:
-            await self.go_on(await join(self, standing))
+        existing_run = await self.place_pointer(choice.endpoint)
+        if existing_run is not None:
+            await self.go_on(await join(self, existing_run))
             return
         self.waits_for_budget = True
         refusal = await self.account.reserve(self.run_id)
@@ -138,7 +138,7 @@
             return None
         return ticket_for(reservation, peer)
 
-    async def place_pointer(self, endpoint: str) -> Standing | None:
+    async def place_pointer(self, endpoint: str) -> ExistingRun | None:
         """Point others to this run; return an earlier run's pointer, if any."""
         if not self.call.has_key:
             return None
--- a/libs/entry/src/clementinebend_entry/joining.py
+++ b/libs/entry/src/clementinebend_entry/joining.py
@@ -8,7 +8,7 @@
 from clementinebend_entry.call_state import CallState
 from clementinebend_entry.conclusions import FINAL_REFUSALS, conclude
 from clementinebend_entry.outcomes import Failed, Refusal, Trouble, Unknown
-from clementinebend_entry.pointer_desk import Standing
+from clementinebend_entry.pointer_desk import ExistingRun
 from clementinebend_entry.run_results import (
     RunBroke,
     RunNotRun,
@@ -17,28 +17,28 @@
 )
 from clementinebend_records.reasons import NotRun
 
-NOWHERE = ""
+QUERY_ENDPOINT = ""
 """The endpoint in a pointer that only queries for an earlier run."""
 
 
-async def join(state: CallState, standing: Standing) -> Refusal | None:
+async def join(state: CallState, existing_run: ExistingRun) -> Refusal | None:
     """Relay the answer of the earlier run of the key.
 
     If that run cannot be attached to, its pointer is dropped and the call
     continues on its own; its claim then decides whether it may still run.
     """
     state.account.withdraw()
-    if standing.body_digest != state.call.body_digest:
+    if existing_run.body_digest != state.call.body_digest:
         state.end(Refusal(NotRun.KEY_CONFLICT, 0))
         return None
     services, call = state.services, state.call
     state.dispatched = True
-    attached = await attach(services, call, standing, state.output)
+    attached = await attach(services, call, existing_run, state.output)
     state.dispatched = isinstance(attached, Attached)
     if isinstance(attached, Attached):
         state.follower = attached.follower
-        return await take_joined(state, attached.result, standing)
-    services.pointers.drop(call.key, standing.run)
+        return await handle_joined_result(state, attached.result, existing_run)
+    services.pointers.drop(call.key, existing_run.run)
     return None
 
 
@@ -54,15 +54,15 @@
     if not may_run_elsewhere or state.has_looked:
         return None
     state.has_looked = True
-    standing = await state.services.pointers.put(call, state.run_id, NOWHERE)
-    if standing is None:
+    existing_run = await state.services.pointers.put(call, state.run_id, QUERY_ENDPOINT)
+    if existing_run is None:
         state.drop_pointer()
         return None
-    return await join(state, standing)
+    return await join(state, existing_run)
 
 
-async def take_joined(
-    state: CallState, result: RunResult, standing: Standing
+async def handle_joined_result(
+    state: CallState, result: RunResult, existing_run: ExistingRun
 ) -> Refusal | None:
     """Handle the result of a run that another request started.
 
@@ -74,14 +74,14 @@
     )
     if is_final or not state.call.idempotent:
         return await conclude(result, state)
-    state.services.pointers.drop(state.call.key, standing.run)
+    state.services.pointers.drop(state.call.key, existing_run.run)
     if state.may_try_again("joined", is_free=True):
-        state.earlier = _trouble_of(result)
+        state.earlier = _earlier_outcome(result)
         return None
     return await conclude(result, state)
 
 
-def _trouble_of(result: RunResult) -> Trouble | None:
+def _earlier_outcome(result: RunResult) -> Trouble | None:
     """Return the outcome to report if the next run of the key is refused."""
     match result:
         case RunNotRun():
--- a/libs/entry/src/clementinebend_entry/pointer_desk.py
+++ b/libs/entry/src/clementinebend_entry/pointer_desk.py
@@ -21,7 +21,7 @@
 POINTER_ZONES = 2
 
 
-class Standing(NamedTuple):
+class ExistingRun(NamedTuple):
     """The earlier run of a key."""
 
     run: RunId
@@ -54,7 +54,7 @@
         """Return the entries that keep the pointer of a key."""
         return rendezvous_by_zone(key, self.peers.zones(), POINTER_ZONES)
 
-    async def put(self, call: Call, run: RunId, endpoint: str) -> Standing | None:
+    async def put(self, call: Call, run: RunId, endpoint: str) -> ExistingRun | None:
         """Point to a run; return the earlier one that stands, if any."""
         put = PointerPut(0, call.key, call.body_digest, run, endpoint)
         hosts = self.hosts(call.key)
@@ -68,7 +68,7 @@
             POINTERS.labels("placed").inc()
             return None
         POINTERS.labels("standing").inc()
-        return Standing(first.run, first.endpoint, first.body_digest)
+        return ExistingRun(first.run, first.endpoint, first.body_digest)
 
     async def ask(self, host: str, put: PointerPut) -> PointerReply | None:
         """Ask one pointer host, which may be this entry."""
