--- a/libs/entry/src/clementinebend_entry/judging.py
+++ b/libs/entry/src/clementinebend_entry/judging.py
@@ -1,4 +1,4 @@
-"""Judges all requests that wait for a grant; the accounts are read once each."""
+"""Selects the waiting requests to refuse; the state of each budget is read once."""
 
 from collections.abc import Iterable, Iterator
 from itertools import groupby
@@ -19,7 +19,7 @@
 
 
 class Judged(NamedTuple):
-    """A request that is given up on, and why."""
+    """A waiting request that must be refused, with its refusal."""
 
     run: RunId
     refusal: Refusal
@@ -28,7 +28,7 @@
 def judge_all(
     waiters: Iterable[Waiter], holder: HolderState, top_ups: TopUpPoster, now: float
 ) -> tuple[Judged, ...]:
-    """Return the requests that are to be refused now."""
+    """Return the waiting requests that must be refused now."""
     ordered = sorted(waiters, key=_budget_of)
     return tuple(
         judged
