--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -13,7 +13,6 @@
 
 from clementinebend_entry.budget_waits import Reservation, Waiter
 from clementinebend_entry.holders import Holders
-from clementinebend_entry.judging import judge_all
 from clementinebend_entry.ledger_events import (
     Finished,
     LedgerEvent,
@@ -40,6 +39,7 @@
 from clementinebend_entry.shards import Shards
 from clementinebend_entry.succession import Succession
 from clementinebend_entry.top_ups import TopUpPoster
+from clementinebend_entry.waiter_refusals import find_refusals
 from clementinebend_ledger.holder import (
     HolderState,
     Reserved,
@@ -221,7 +221,7 @@
         now = self.loop.time()
         waiting = tuple(self.waiters.values())
         left = [waiter for waiter in waiting if not self.try_waiter(waiter)]
-        for run, refusal in judge_all(left, self.holder, self.top_ups, now):
+        for run, refusal in find_refusals(left, self.holder, self.top_ups, now):
             self.waiters[run].reply.set_result(refusal)
             self.take(Withdrawn(run))
         self.succession.prepare_if_due(now)
--- a/libs/entry/src/clementinebend_entry/judging.py
+++ b/libs/entry/src/clementinebend_entry/waiter_refusals.py
@@ -18,32 +18,32 @@
 from clementinebend_records.identifiers import RunId
 
 
-class Judged(NamedTuple):
+class RefusedWaiter(NamedTuple):
     """A waiting request that must be refused, with its refusal."""
 
     run: RunId
     refusal: Refusal
 
 
-def judge_all(
+def find_refusals(
     waiters: Iterable[Waiter], holder: HolderState, top_ups: TopUpPoster, now: float
-) -> tuple[Judged, ...]:
+) -> tuple[RefusedWaiter, ...]:
     """Return the waiting requests that must be refused now."""
     ordered = sorted(waiters, key=_budget_of)
     return tuple(
-        judged
+        refused
         for budget, group in groupby(ordered, key=_budget_of)
-        for judged in _judge_budget(budget, tuple(group), holder, top_ups, now)
+        for refused in _find_budget_refusals(budget, tuple(group), holder, top_ups, now)
     )
 
 
-def _judge_budget(
+def _find_budget_refusals(
     budget: str,
     waiters: tuple[Waiter, ...],
     holder: HolderState,
     top_ups: TopUpPoster,
     now: float,
-) -> Iterator[Judged]:
+) -> Iterator[RefusedWaiter]:
     shard = top_ups.shards.of_budget(budget)
     failing_for = shard.failing_for(now)
     declared = sum(top_up.amount for top_up in top_ups.missing(budget))
@@ -53,7 +53,7 @@
         view = BudgetView(summary, declared, failing_for, settling)
         refusal = judge_waiter(waiter, view, now)
         if refusal is not None:
-            yield Judged(waiter.run, refusal)
+            yield RefusedWaiter(waiter.run, refusal)
 
 
 def _budget_of(waiter: Waiter) -> str:
