--- a/libs/entry/src/clementinebend_entry/lookup.py
+++ b/libs/entry/src/clementinebend_entry/lookup.py
@@ -1,4 +1,4 @@
-"""Which team, service and budget a request belongs to; pure look-ups."""
+"""Pure look-ups of the team, service and budget of a request."""
 
 from collections import defaultdict
 from hashlib import sha256
@@ -39,7 +39,7 @@
 
     @property
     def declarations(self) -> Declarations:
-        """The declarations in force."""
+        """The declarations of this revision."""
         return self.configuration.declarations
 
 
@@ -55,7 +55,7 @@
 
 
 def find_team(directory: Directory, bearer: str) -> NamedTeam | None:
-    """Return the team whose key ``bearer`` is."""
+    """Return the team that the API key ``bearer`` belongs to."""
     digest = sha256(bearer.encode("utf-8", "surrogateescape")).hexdigest()
     name = directory.teams_by_digest.get(digest)
     return None if name is None else NamedTeam(name, directory.declarations.teams[name])
@@ -64,7 +64,7 @@
 def find_model_service(
     directory: Directory, team: str, model: str
 ) -> NamedService | None:
-    """Return the service for ``model``; a rule for the team goes before ``*``."""
+    """Return the service for ``model``; rules for the team take priority over ``*``."""
     rules = directory.declarations.routing_rules
     fitting = [rule for rule in rules if _fits(rule, team, model)]
     fitting.sort(key=lambda rule: rule.team == ANY_TEAM)
@@ -75,7 +75,7 @@
 
 
 def find_plain_service(directory: Directory, target: str) -> NamedService | None:
-    """Return the plain service with the longest path that starts ``target``."""
+    """Return the plain service whose path is the longest prefix of ``target``."""
     path = target.partition("?")[0]
     fitting = [
         NamedService(name, service)
@@ -86,9 +86,9 @@
 
 
 def find_budget(directory: Directory, team: str, service: str, wished: str) -> str:
-    """Return the team's budget for a service, or an empty string.
+    """Return the name of the team's budget for a service, or an empty string.
 
-    ``wished`` names one of them; without a wish it is the first by name.
+    ``wished`` selects a budget by name; if it is empty, the first by name is used.
     """
     budgets = directory.declarations.budgets
     names = directory.budgets_by_team.get(team, ())
