--- a/libs/entry/src/clementinebend_entry/pointer_desk.py
+++ b/libs/entry/src/clementinebend_entry/pointer_desk.py
@@ -1,9 +1,9 @@
-"""Asks the pointer hosts of a key where it runs, and answers other entries.
+"""Stores and queries the pointers from request keys to their runs.
 
-A key's pointer hosts are its first rendezvous entries in two availability
-zones. They are asked at once; of those that answer in a short time the first
-in rendezvous order decides. One that does not answer is passed over: then an
-idempotent request may run twice, and its key is billed once all the same.
+The pointer hosts of a key are its first entries in rendezvous order in two
+availability zones. They are queried concurrently; of the replies that arrive
+in time, the first in rendezvous order is used. A host that does not reply is
+ignored: an idempotent request may then run twice, but its key is billed once.
 """
 
 from asyncio import gather
@@ -30,20 +30,20 @@
 
 
 class Peers(Protocol):
-    """What the desk needs of the links to other entries."""
+    """The operations on links to other entries that are needed here."""
 
     def zones(self) -> Mapping[str, str]:
         """Return the availability zones of all entries by name."""
 
     async def ask_pointer(self, name: str, put: PointerPut) -> PointerReply | None:
-        """Ask a peer; None if it does not answer in a short time."""
+        """Send a pointer to a peer; return None if it does not reply in time."""
 
     def drop_pointer(self, name: str, drop: PointerDrop) -> None:
-        """Have a peer remove a pointer."""
+        """Tell a peer to remove a pointer."""
 
 
 class PointerDesk:
-    """Owns the pointers kept here and the questions to other hosts."""
+    """Holds the pointers stored on this entry and queries the other pointer hosts."""
 
     def __init__(self, name: str, bound: int, peers: Peers) -> None:
         self.name = name
@@ -51,11 +51,11 @@
         self.store = empty_pointers(bound)
 
     def hosts(self, key: RequestKey) -> tuple[str, ...]:
-        """Return the entries that keep the pointer of a key."""
+        """Return the entries that store the pointer of a key."""
         return rendezvous_by_zone(key, self.peers.zones(), POINTER_ZONES)
 
     async def put(self, call: Call, run: RunId, endpoint: str) -> ExistingRun | None:
-        """Point to a run; return the earlier one that stands, if any."""
+        """Store a pointer to a run; return the earlier run of the key, if any."""
         put = PointerPut(0, call.key, call.body_digest, run, endpoint)
         hosts = self.hosts(call.key)
         replies = await gather(*(self.ask(host, put) for host in hosts))
@@ -71,13 +71,13 @@
         return ExistingRun(first.run, first.endpoint, first.body_digest)
 
     async def ask(self, host: str, put: PointerPut) -> PointerReply | None:
-        """Ask one pointer host, which may be this entry."""
+        """Send a pointer to one pointer host, which may be this entry."""
         if host == self.name:
             return self.keep(put)
         return await self.peers.ask_pointer(host, put)
 
     def keep(self, put: PointerPut) -> PointerReply:
-        """Keep a pointer here, unless one stands."""
+        """Store a pointer here, unless the key has one already."""
         self.store, reply = put_pointer(self.store, put, monotonic())
         return reply
 
--- a/libs/entry/src/clementinebend_entry/pointers.py
+++ b/libs/entry/src/clementinebend_entry/pointers.py
@@ -1,7 +1,7 @@
-"""Pointers from request keys to runs, kept for other entries; pure.
+"""Pure store of pointers from request keys to runs, kept for other entries.
 
-The store is bounded: the oldest pointer goes first. A pointer is a hint; a
-lost one costs idempotent work a second run and never a second bill.
+The store is bounded and evicts the oldest pointer first. A pointer is only a
+hint: if it is lost, an idempotent call may run twice, but is never billed twice.
 """
 
 from collections import OrderedDict
@@ -14,7 +14,7 @@
 
 
 class Pointer(NamedTuple):
-    """Where a key's run is, since ``written_at`` (monotonic seconds)."""
+    """The run of a key, stored at ``written_at`` (monotonic seconds)."""
 
     run: RunId
     endpoint: str
@@ -23,7 +23,7 @@
 
 
 class PointerStore(NamedTuple):
-    """Pointers in the order in which they were written."""
+    """At most ``bound`` pointers, in the order in which they were written."""
 
     bound: int
     pointers: OrderedDict[RequestKey, Pointer]
@@ -37,7 +37,7 @@
 def put_pointer(
     store: PointerStore, put: PointerPut, now: float
 ) -> tuple[PointerStore, PointerReply]:
-    """Keep a pointer unless one stands; answer with the one that stands."""
+    """Store a pointer unless the key has one; reply with the stored one."""
     store = expire_pointers(store, now)
     standing = store.pointers.get(put.key)
     if standing is None:
@@ -52,7 +52,7 @@
 
 
 def drop_pointer(store: PointerStore, drop: PointerDrop) -> PointerStore:
-    """Remove the pointer of a run that did not take place."""
+    """Remove the pointer of a key, if it is to the given run."""
     standing = store.pointers.get(drop.key)
     if standing is not None and standing.run == drop.run:
         del store.pointers[drop.key]
@@ -60,7 +60,7 @@
 
 
 def expire_pointers(store: PointerStore, now: float) -> PointerStore:
-    """Remove pointers past their lifetime."""
+    """Remove pointers older than ``POINTER_LIFETIME_S``."""
     oldest = now - POINTER_LIFETIME_S
     while store.pointers:
         key = next(iter(store.pointers))
