--- a/libs/entry/src/clementinebend_entry/attachment.py
+++ b/libs/entry/src/clementinebend_entry/attachment.py
@@ -8,7 +8,7 @@
 from clementinebend_entry.calls import Call
 from clementinebend_entry.following import Follower
 from clementinebend_entry.metrics import ATTACHMENTS
-from clementinebend_entry.pointer_desk import ExistingRun
+from clementinebend_entry.pointer_client import ExistingRun
 from clementinebend_entry.run_results import RunNotRun, RunResult
 from clementinebend_entry.services import Services
 from clementinebend_entry.sidecar_link import SidecarLink
--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -18,7 +18,7 @@
 from clementinebend_entry.joining import join, join_earlier
 from clementinebend_entry.metrics import RUNS
 from clementinebend_entry.outcomes import Refusal, Unknown
-from clementinebend_entry.pointer_desk import ExistingRun
+from clementinebend_entry.pointer_client import ExistingRun
 from clementinebend_entry.run_opening import run_start, ticket_for
 from clementinebend_entry.run_results import (
     RunWhole,
--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -21,7 +21,7 @@
 from clementinebend_entry.own_witness import OwnWitness
 from clementinebend_entry.peer_pool import PeerPool, entry_hello
 from clementinebend_entry.peer_server import PeerServer
-from clementinebend_entry.pointer_desk import PointerDesk
+from clementinebend_entry.pointer_client import PointerClient
 from clementinebend_entry.reach import Reach
 from clementinebend_entry.receipt_keeper import ReceiptKeeper
 from clementinebend_entry.receipt_places import ReceiptPlaces
@@ -85,7 +85,7 @@
         self.peers = PeerPool(settings, self.hello, self.on_peer_news)
         places = ReceiptPlaces(self.ledger, self.pool, self.peers)
         self.receipts = ReceiptDesk(settings.zone, places)
-        self.pointers = PointerDesk(settings.name, settings.kept_pointers, self.peers)
+        self.pointers = PointerClient(settings.name, settings.kept_pointers, self.peers)
         self.own_witness = OwnWitness(Lender(self.ledger), self.keeper)
         self.borrower = Borrower(self.ledger, self.peers)
         self.peer_server = PeerServer(
--- a/libs/entry/src/clementinebend_entry/joining.py
+++ b/libs/entry/src/clementinebend_entry/joining.py
@@ -8,7 +8,7 @@
 from clementinebend_entry.call_state import CallState
 from clementinebend_entry.conclusions import FINAL_REFUSALS, conclude
 from clementinebend_entry.outcomes import Failed, Refusal, Trouble, Unknown
-from clementinebend_entry.pointer_desk import ExistingRun
+from clementinebend_entry.pointer_client import ExistingRun
 from clementinebend_entry.run_results import (
     RunBroke,
     RunNotRun,
--- a/libs/entry/src/clementinebend_entry/peer_server.py
+++ b/libs/entry/src/clementinebend_entry/peer_server.py
@@ -7,7 +7,7 @@
 
 from clementinebend_entry.message_link import MakeHello
 from clementinebend_entry.own_witness import OwnWitness
-from clementinebend_entry.pointer_desk import PointerDesk
+from clementinebend_entry.pointer_client import PointerClient
 from clementinebend_records.messages import (
     CloseNotice,
     DrainOrder,
@@ -33,7 +33,7 @@
     def __init__(
         self,
         hello: MakeHello,
-        pointers: PointerDesk,
+        pointers: PointerClient,
         own: OwnWitness,
         give_revision: GiveRevision,
         drain: Callable[[], None],
--- a/libs/entry/src/clementinebend_entry/pointer_desk.py
+++ b/libs/entry/src/clementinebend_entry/pointer_client.py
@@ -42,7 +42,7 @@
         """Tell a peer to remove a pointer."""
 
 
-class PointerDesk:
+class PointerClient:
     """Holds the pointers stored on this entry and queries the other pointer hosts."""
 
     def __init__(self, name: str, bound: int, peers: Peers) -> None:
@@ -58,7 +58,7 @@
         """Store a pointer to a run; return the earlier run of the key, if any."""
         put = PointerPut(0, call.key, call.body_digest, run, endpoint)
         hosts = self.hosts(call.key)
-        replies = await gather(*(self.ask(host, put) for host in hosts))
+        replies = await gather(*(self.send_pointer(host, put) for host in hosts))
         answers = [reply for reply in replies if reply is not None]
         if not answers:
             POINTERS.labels("unanswered").inc()
@@ -70,7 +70,7 @@
         POINTERS.labels("standing").inc()
         return ExistingRun(first.run, first.endpoint, first.body_digest)
 
-    async def ask(self, host: str, put: PointerPut) -> PointerReply | None:
+    async def send_pointer(self, host: str, put: PointerPut) -> PointerReply | None:
         """Send a pointer to one pointer host, which may be this entry."""
         if host == self.name:
             return self.keep(put)
--- a/libs/entry/src/clementinebend_entry/pointers.py
+++ b/libs/entry/src/clementinebend_entry/pointers.py
@@ -39,22 +39,20 @@
 ) -> tuple[PointerStore, PointerReply]:
     """Store a pointer unless the key has one; reply with the stored one."""
     store = expire_pointers(store, now)
-    standing = store.pointers.get(put.key)
-    if standing is None:
-        standing = Pointer(put.run, put.endpoint, put.body_digest, now)
-        store.pointers[put.key] = standing
+    stored = store.pointers.get(put.key)
+    if stored is None:
+        stored = Pointer(put.run, put.endpoint, put.body_digest, now)
+        store.pointers[put.key] = stored
     if len(store.pointers) > store.bound:
         store.pointers.popitem(last=False)
-    reply = PointerReply(
-        put.question, standing.run, standing.endpoint, standing.body_digest
-    )
+    reply = PointerReply(put.question, stored.run, stored.endpoint, stored.body_digest)
     return store, reply
 
 
 def drop_pointer(store: PointerStore, drop: PointerDrop) -> PointerStore:
     """Remove the pointer of a key, if it is to the given run."""
-    standing = store.pointers.get(drop.key)
-    if standing is not None and standing.run == drop.run:
+    stored = store.pointers.get(drop.key)
+    if stored is not None and stored.run == drop.run:
         del store.pointers[drop.key]
     return store
 
--- a/libs/entry/src/clementinebend_entry/services.py
+++ b/libs/entry/src/clementinebend_entry/services.py
@@ -7,7 +7,7 @@
 from clementinebend_entry.admission_gate import AdmissionGate
 from clementinebend_entry.claims import ClaimsClient
 from clementinebend_entry.ledger import Ledger
-from clementinebend_entry.pointer_desk import PointerDesk
+from clementinebend_entry.pointer_client import PointerClient
 from clementinebend_entry.receipts import ReceiptDesk
 from clementinebend_entry.router import Router
 from clementinebend_entry.sidecar_pool import SidecarPool
@@ -23,6 +23,6 @@
     pool: SidecarPool
     ledger: Ledger
     claims: ClaimsClient
-    pointers: PointerDesk
+    pointers: PointerClient
     receipts: ReceiptDesk
     watch: Watch
