--- a/libs/entry/src/clementinebend_entry/reach.py
+++ b/libs/entry/src/clementinebend_entry/reach.py
@@ -1,7 +1,8 @@
-"""Which other entries are dead long enough to close their holders.
+"""Determines which other entries are dead long enough to close their holders.
 
-Membership joins the platform's list of hosts with what links see. To that
-comes the log: an entry that writes there is alive, whatever else is cut off.
+Membership combines the platform's list of hosts with the state of links. The
+log adds to it: an entry that writes there is alive, even if all its links are
+down.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,11 +22,11 @@
 
 
 class Reach:
-    """Joins what links, the list of hosts and streams tell of other entries.
+    """Combines the evidence of links, the host list and the log on other entries.
 
-    ``first_patience`` is how long a suspect may be silent on the log before
-    its holder is closed, in seconds; each close doubles it until the entry is
-    seen again, since a live one would only come back as another holder.
+    ``first_patience`` is how long a suspect may write nothing to the log before
+    its holder is closed, in seconds. Each close doubles the limit until the entry
+    is reachable again, since a live entry would only return with another holder.
     """
 
     def __init__(self, names: Iterable[str], first_patience: float, now: float) -> None:
@@ -38,44 +39,50 @@
             self.on_down(name, NEVER_SEEN, now)
 
     def on_up(self, name: str, incarnation: Incarnation, now: float) -> None:
-        """Take in that an entry can be reached."""
+        """Record that an entry is reachable."""
         self.view = on_direct_evidence(
             self.view, name, incarnation, Evidence.REACHABLE, now
         )
         self.closes.pop(name, None)
 
     def on_down(self, name: str, incarnation: Incarnation, now: float) -> None:
-        """Take in that an entry cannot be reached any more."""
+        """Record that an entry is no longer reachable."""
         self.view = on_direct_evidence(
             self.view, name, incarnation, Evidence.UNREACHABLE, now
         )
 
     def on_hosts(self, hosts: Iterable[ListedHost], now: float) -> None:
-        """Take in the platform's list of hosts."""
+        """Update the view with the platform's list of hosts."""
         self.view = on_host_list(self.view, hosts, now)
 
     def on_holder(self, holder: Incarnation, now: float) -> None:
-        """Take in a holder; of an entry that is no peer nothing is seen."""
+        """Record a holder of an entry that is no peer as unreachable.
+
+        There is no link to such an entry that could show whether it is alive.
+        """
         name = name_of(holder)
         if name not in self.peers:
             self.on_down(name, holder, now)
 
     def on_written(self, writer: Incarnation, now: float) -> None:
-        """Take in that a batch of an entry was read on the log."""
+        """Record that a batch written by an entry was read from the log."""
         self.written_at[name_of(writer)] = now
 
     def on_close(self, name: str) -> None:
-        """Take in that this entry closes a holder of ``name``."""
+        """Record that this entry closes a holder of the entry ``name``."""
         self.closes[name] = self.closes.get(name, 0) + 1
 
     def overdue(self, now: float) -> Mapping[str, float]:
-        """Return for how many seconds each suspect has been due to be closed."""
+        """Return for how many seconds each suspect has been due for closing.
+
+        The value is negative while the suspect is not due.
+        """
         return {
             name: now - self.written_at.get(name, 0.0) - self.patience(name)
             for name in suspects(self.view, now)
         }
 
     def patience(self, name: str) -> float:
-        """Return how long a suspect may be silent on the log, in seconds."""
+        """Return how long a suspect may write nothing to the log, in seconds."""
         closes = min(self.closes.get(name, 0), LONGEST_DOUBLING)
         return float(self.first_patience * 2**closes)
