--- a/libs/entry/src/clementinebend_entry/closer.py
+++ b/libs/entry/src/clementinebend_entry/closer.py
@@ -17,8 +17,8 @@
 from clementinebend_entry.message_link import MessageLink
 from clementinebend_entry.metrics import CLOSES
 from clementinebend_entry.own_witness import OwnWitness
+from clementinebend_entry.peer_liveness import PeerLiveness
 from clementinebend_entry.peer_pool import PeerPool
-from clementinebend_entry.reach import Reach
 from clementinebend_entry.receipts import ReceiptDesk
 from clementinebend_entry.settles import settles_of
 from clementinebend_entry.shard import LedgerShard
@@ -52,14 +52,14 @@
         peers: PeerPool,
         receipts: ReceiptDesk,
         own: OwnWitness,
-        reach: Reach,
+        peer_liveness: PeerLiveness,
     ) -> None:
         self.ledger = ledger
         self.sidecars = sidecars
         self.peers = peers
         self.receipts = receipts
         self.own = own
-        self.reach = reach
+        self.peer_liveness = peer_liveness
         self.loop = get_running_loop()
         self.first_seen: dict[tuple[str, Incarnation], float] = {}
         self.posted: dict[tuple[str, ...], float] = {}
@@ -80,14 +80,14 @@
             self.ledger.name,
             self.ledger.holders.incarnations(),
             self.peers.live(),
-            self.reach.overdue(now),
+            self.peer_liveness.overdue(now),
         )
 
     def process_shard(self, shard: LedgerShard, entries: Entries) -> None:
         """Close the holders of a shard that are due, and notify their witnesses."""
         for holder in shard.state.holders:
             if name_of(holder) != entries.name:
-                self.reach.on_holder(holder, self.loop.time())
+                self.peer_liveness.on_holder(holder, self.loop.time())
         for holder in holders_to_close(shard.state, entries):
             self.close(shard, holder)
         notices = [
@@ -121,7 +121,7 @@
             return
         logger.info("%s: closing holder %s", shard.stream, holder)
         CLOSES.labels("close").inc()
-        self.reach.on_close(name_of(holder))
+        self.peer_liveness.on_close(name_of(holder))
         self.ledger.shards.post(shard, (HolderClose(holder, self.ledger.incarnation),))
 
     def should_post(self, *subject: str) -> bool:
--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -19,10 +19,10 @@
 from clementinebend_entry.lender import Lender
 from clementinebend_entry.lookup import Directory
 from clementinebend_entry.own_witness import OwnWitness
+from clementinebend_entry.peer_liveness import PeerLiveness
 from clementinebend_entry.peer_pool import PeerPool, entry_hello
 from clementinebend_entry.peer_server import PeerServer
 from clementinebend_entry.pointer_client import PointerClient
-from clementinebend_entry.reach import Reach
 from clementinebend_entry.receipt_keeper import ReceiptKeeper
 from clementinebend_entry.receipt_places import ReceiptPlaces
 from clementinebend_entry.receipts import ReceiptDesk
@@ -65,7 +65,9 @@
         client = http_log_client(settings.log_url, self.http, settings.name)
         log = LogSettings(client, incarnation)
         names = tuple(peer.name for peer in settings.peers)
-        self.reach = Reach(names, settings.suspect_after_s, self.loop.time())
+        self.peer_liveness = PeerLiveness(
+            names, settings.suspect_after_s, self.loop.time()
+        )
         self.ledger = Ledger(
             settings.name, incarnation, settings.ledger_shards, log, self
         )
@@ -101,7 +103,7 @@
             self.peers,
             self.receipts,
             self.own_witness,
-            self.reach,
+            self.peer_liveness,
         )
         self.services = Services(
             self.gate,
@@ -148,7 +150,7 @@
 
     def on_written(self, writer: Incarnation, now: float) -> None:
         """Take in that an entry wrote to the log."""
-        self.reach.on_written(writer, now)
+        self.peer_liveness.on_written(writer, now)
 
     def on_logged(self, bill: Bill) -> None:
         """Take in that a request key is billed."""
@@ -213,14 +215,14 @@
 
     @on_peer_news.register
     def _(self, news: LinkUp) -> None:
-        self.reach.on_up(news.name, news.hello.incarnation, self.loop.time())
+        self.peer_liveness.on_up(news.name, news.hello.incarnation, self.loop.time())
         self.see_witnesses()
 
     @on_peer_news.register
     def _(self, news: LinkDown) -> None:
         peer = self.peers.links[news.name].peer
         if peer is not None:
-            self.reach.on_down(news.name, peer.incarnation, self.loop.time())
+            self.peer_liveness.on_down(news.name, peer.incarnation, self.loop.time())
         self.see_witnesses()
 
     @on_peer_news.register
@@ -259,7 +261,7 @@
         while True:
             match await hosts.list():
                 case Result(tag="ok", ok=listed):
-                    self.reach.on_hosts(listed, self.loop.time())
+                    self.peer_liveness.on_hosts(listed, self.loop.time())
             await sleep(HOSTS_INTERVAL_S)
 
     async def close(self) -> None:
--- a/libs/entry/src/clementinebend_entry/reach.py
+++ b/libs/entry/src/clementinebend_entry/peer_liveness.py
@@ -17,20 +17,23 @@
 )
 from clementinebend_records.identifiers import Incarnation, name_of
 
-LONGEST_DOUBLING = 10
+MAX_DOUBLINGS = 10
 NEVER_SEEN = Incarnation("")
 
 
-class Reach:
+class PeerLiveness:
     """Combines the evidence of links, the host list and the log on other entries.
 
-    ``first_patience`` is how long a suspect may write nothing to the log before
-    its holder is closed, in seconds. Each close doubles the limit until the entry
-    is reachable again, since a live entry would only return with another holder.
+    ``initial_silence_limit`` is how long a suspect may write nothing to the log
+    before its holder is closed, in seconds. Each close doubles the limit until the
+    entry is reachable again, since a live entry would only return with another
+    holder.
     """
 
-    def __init__(self, names: Iterable[str], first_patience: float, now: float) -> None:
-        self.first_patience = first_patience
+    def __init__(
+        self, names: Iterable[str], initial_silence_limit: float, now: float
+    ) -> None:
+        self.initial_silence_limit = initial_silence_limit
         self.peers = frozenset(names)
         self.view = empty_view()
         self.written_at: dict[str, float] = {}
@@ -78,11 +81,11 @@
         The value is negative while the suspect is not due.
         """
         return {
-            name: now - self.written_at.get(name, 0.0) - self.patience(name)
+            name: now - self.written_at.get(name, 0.0) - self.log_silence_limit(name)
             for name in suspects(self.view, now)
         }
 
-    def patience(self, name: str) -> float:
+    def log_silence_limit(self, name: str) -> float:
         """Return how long a suspect may write nothing to the log, in seconds."""
-        closes = min(self.closes.get(name, 0), LONGEST_DOUBLING)
-        return float(self.first_patience * 2**closes)
+        closes = min(self.closes.get(name, 0), MAX_DOUBLINGS)
+        return float(self.initial_silence_limit * 2**closes)
--- a/tests/unit/entry/test_keeping.py
+++ b/tests/unit/entry/test_keeping.py
@@ -22,6 +22,7 @@
     empty_receipts,
     keep_receipt,
 )
+from clementinebend_entry.peer_liveness import PeerLiveness
 from clementinebend_entry.peer_pool import partners
 from clementinebend_entry.pointers import (
     POINTER_LIFETIME_S,
@@ -29,7 +30,6 @@
     empty_pointers,
     put_pointer,
 )
-from clementinebend_entry.reach import Reach
 from clementinebend_entry.receipts import ReceiptDesk
 from clementinebend_ledger.replay import empty_ledger, replay
 from clementinebend_ledger.state import LedgerState
@@ -193,15 +193,15 @@
 
 
 def test_an_entry_that_writes_is_alive_and_each_close_doubles_patience() -> None:
-    reach = Reach(("entry-2",), 5.0, 0.0)
-    reach.on_hosts((), 0.0)
-    assert reach.overdue(100.0)["entry-2"] > 0
-    reach.on_written(DEAD, 98.0)
-    assert reach.overdue(100.0)["entry-2"] == -3.0
-    reach.on_close("entry-2")
-    assert reach.overdue(100.0)["entry-2"] == -8.0
-    reach.on_up("entry-2", DEAD, 100.0)
-    assert reach.overdue(1000.0) == {}
+    peer_liveness = PeerLiveness(("entry-2",), 5.0, 0.0)
+    peer_liveness.on_hosts((), 0.0)
+    assert peer_liveness.overdue(100.0)["entry-2"] > 0
+    peer_liveness.on_written(DEAD, 98.0)
+    assert peer_liveness.overdue(100.0)["entry-2"] == -3.0
+    peer_liveness.on_close("entry-2")
+    assert peer_liveness.overdue(100.0)["entry-2"] == -8.0
+    peer_liveness.on_up("entry-2", DEAD, 100.0)
+    assert peer_liveness.overdue(1000.0) == {}
 
 
 def test_partners_are_of_both_kinds_and_never_oneself() -> None:
