--- a/libs/entry/src/clementinebend_entry/log_health.py
+++ b/libs/entry/src/clementinebend_entry/log_health.py
@@ -1,11 +1,11 @@
-"""For how long the log has not served one stream."""
+"""Measures for how long the log has been failing for one stream."""
 
 from clementinebend_platform_client.tail import StreamTail
 from clementinebend_platform_client.writer import StreamWriter
 
 
 def failing_for(tail: StreamTail, writer: StreamWriter, now: float) -> float:
-    """Return for how many seconds the log has not taken or given anything."""
+    """Return for how many seconds reads or appends have been failing, 0 if neither."""
     since = writer.failing_since
     if tail.failures and tail.caught_up_at is not None:
         heard = tail.caught_up_at
--- a/libs/entry/src/clementinebend_entry/shard.py
+++ b/libs/entry/src/clementinebend_entry/shard.py
@@ -1,4 +1,4 @@
-"""One stream of the log as this entry sees it: its replay, reader and writer."""
+"""Replay, reader and writer of one stream of the log."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, Generic, NamedTuple, Protocol, TypeVar
@@ -29,11 +29,11 @@
 
 
 class ReplayedState(Protocol):
-    """A replayed state, which knows the last batch of each writer."""
+    """A replayed state that stores the sequence number of each writer's last batch."""
 
     @property
     def sequences(self) -> Mapping[Incarnation, int]:
-        """The number of each writer's last batch."""
+        """The sequence number of the last batch of each writer."""
         ...
 
 
@@ -42,7 +42,7 @@
 
 
 class LogSettings(NamedTuple):
-    """How readers and writers of one process talk to the log."""
+    """Log client and settings for the readers and writers of one process."""
 
     client: LogClient
     writer: Incarnation
@@ -51,7 +51,7 @@
 
 
 class Replay(NamedTuple, Generic[State, Outcome]):
-    """How the records of one kind of stream become a state."""
+    """Functions that replay one kind of stream into a state."""
 
     empty: Callable[[], State]
     apply: Callable[[State, int, Batch], tuple[State, tuple[Outcome, ...]]]
@@ -62,8 +62,8 @@
 class Shard(Generic[State, Outcome]):
     """Replays one stream; create it inside a running loop.
 
-    ``on_outcomes`` takes who wrote a batch and what came of it, ``on_restored`` is
-    called when the state is a checkpoint's.
+    ``on_outcomes`` is called with the writer of each batch and the outcomes of its
+    records, ``on_restored`` after the state was restored from a checkpoint.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         self.on_outcomes(batch.writer, outcomes)
 
     def on_restore(self, checkpoint: Checkpoint) -> None:
-        """Go on from a checkpoint."""
+        """Restore the state from a checkpoint."""
         self.state = self.rules.restore(checkpoint)
         last = self.state.sequences.get(self.writer.writer, 0)
         self.writer.on_restored(checkpoint.offset, last)
@@ -105,17 +105,17 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the state is that of the stream's end, lately."""
+        """Whether the reader has recently reached the end of the stream."""
         return self.tail.ready.is_set()
 
     @property
     def is_flushed(self) -> bool:
-        """Whether all that was posted has been read back."""
+        """Whether all posted records have been read back."""
         state = self.writer.state
         return not (state.in_flight or state.queue)
 
     def failing_for(self, now: float) -> float:
-        """Return for how many seconds the log has not taken or given anything."""
+        """Return for how many seconds reads or appends have been failing."""
         return failing_for(self.tail, self.writer, now)
 
     async def close(self, patience: float) -> None:
@@ -134,7 +134,7 @@
 def ledger_shard(
     stream: str, log: LogSettings, tell: Callable[[Replayed | Restored], None]
 ) -> LedgerShard:
-    """Return one shard of the ledger, which tells what was replayed."""
+    """Return one ledger shard, which reports replayed batches and restores."""
     return Shard(
         stream,
         log,
@@ -147,7 +147,7 @@
 def claims_shard(
     stream: str, log: LogSettings, tell: Callable[[ClaimsOutcome], None]
 ) -> ClaimsShard:
-    """Return one shard of the claims, which tells each outcome."""
+    """Return one claims shard, which reports each outcome."""
 
     def tell_all(writer: Incarnation, outcomes: tuple[ClaimsOutcome, ...]) -> None:
         for outcome in outcomes:
--- a/libs/entry/src/clementinebend_entry/shards.py
+++ b/libs/entry/src/clementinebend_entry/shards.py
@@ -15,9 +15,9 @@
 
 
 class Shards:
-    """Posts records to the shard they belong to.
+    """Posts records to the ledger shards of their budgets.
 
-    ``take_back`` gets the stream and the records of a post that was not taken.
+    ``take_back`` is called with the stream and the records of each rejected post.
     """
 
     def __init__(
@@ -34,22 +34,22 @@
         }
 
     def of_budget(self, budget: str) -> LedgerShard:
-        """Return the shard that a budget belongs to."""
+        """Return the shard that stores a budget."""
         return self.by_stream[ledger_stream(budget, self.count)]
 
     @property
     def is_ready(self) -> bool:
-        """Whether all have caught up with the log."""
+        """Whether all shards have caught up with the log."""
         return all(shard.is_ready for shard in self.by_stream.values())
 
     @property
     def is_flushed(self) -> bool:
-        """Whether all that was posted has been read back."""
+        """Whether all posted records have been read back."""
         return all(shard.is_flushed for shard in self.by_stream.values())
 
     @property
     def delay(self) -> float:
-        """Recent seconds from a post to its read-back, of the slowest shard."""
+        """Recent time from a post to its read-back on the slowest shard, in seconds."""
         return max(shard.writer.delay for shard in self.by_stream.values())
 
     def post_by_budget(self, records: dict[str, tuple[Record, ...]]) -> None:
@@ -58,7 +58,7 @@
             self.post(self.of_budget(budget), rows)
 
     def post(self, shard: LedgerShard, records: Iterable[Record]) -> None:
-        """Post records; those that the writer does not take are given back."""
+        """Post records; those that the writer rejects are passed to ``take_back``."""
         rows = tuple(records)
         if rows:
             future = shard.writer.post(rows)
@@ -67,7 +67,7 @@
     def check(
         self, shard: LedgerShard, rows: tuple[Record, ...], done: "Future[PostOutcome]"
     ) -> None:
-        """Give back what was not logged."""
+        """Pass the records of a rejected post to ``take_back``."""
         if done.cancelled():
             return
         match done.result():
