--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -36,7 +36,7 @@
 from clementinebend_entry.posting import forget_post
 from clementinebend_entry.settles import settles_of
 from clementinebend_entry.shard import LogSettings
-from clementinebend_entry.shards import Shards
+from clementinebend_entry.shards import LedgerShards
 from clementinebend_entry.succession import Succession
 from clementinebend_entry.top_ups import TopUpPoster
 from clementinebend_entry.waiter_refusals import find_refusals
@@ -79,7 +79,7 @@
         self.waiters: dict[RunId, Waiter] = {}
         self.dirty = Event()
         self.changed = Event()
-        self.shards = Shards(shards, log, self.take, self.take_back)
+        self.shards = LedgerShards(shards, log, self.take, self.take_back)
         self.top_ups = TopUpPoster(name, self.shards)
         self.succession = Succession(self.holders, self.shards, self.loop.time())
 
--- a/libs/entry/src/clementinebend_entry/shard.py
+++ b/libs/entry/src/clementinebend_entry/shard.py
@@ -132,25 +132,27 @@
 
 
 def ledger_shard(
-    stream: str, log: LogSettings, tell: Callable[[Replayed | Restored], None]
+    stream: str, log: LogSettings, report: Callable[[Replayed | Restored], None]
 ) -> LedgerShard:
     """Return one ledger shard, which reports replayed batches and restores."""
     return Shard(
         stream,
         log,
         LEDGER,
-        lambda writer, outcomes: tell(Replayed(stream, writer, outcomes)),
-        lambda: tell(Restored(stream)),
+        lambda writer, outcomes: report(Replayed(stream, writer, outcomes)),
+        lambda: report(Restored(stream)),
     )
 
 
 def claims_shard(
-    stream: str, log: LogSettings, tell: Callable[[ClaimsOutcome], None]
+    stream: str, log: LogSettings, report: Callable[[ClaimsOutcome], None]
 ) -> ClaimsShard:
     """Return one claims shard, which reports each outcome."""
 
-    def tell_all(writer: Incarnation, outcomes: tuple[ClaimsOutcome, ...]) -> None:
+    def report_outcomes(
+        writer: Incarnation, outcomes: tuple[ClaimsOutcome, ...]
+    ) -> None:
         for outcome in outcomes:
-            tell(outcome)
+            report(outcome)
 
-    return Shard(stream, log, CLAIMS, tell_all)
+    return Shard(stream, log, CLAIMS, report_outcomes)
--- a/libs/entry/src/clementinebend_entry/shards.py
+++ b/libs/entry/src/clementinebend_entry/shards.py
@@ -11,26 +11,27 @@
 from clementinebend_records.records import Record
 from clementinebend_records.streams import ledger_stream, ledger_streams
 
-TakeBack = Callable[[str, tuple[Record, ...]], None]
+OnRejected = Callable[[str, tuple[Record, ...]], None]
 
 
-class Shards:
+class LedgerShards:
     """Posts records to the ledger shards of their budgets.
 
-    ``take_back`` is called with the stream and the records of each rejected post.
+    ``on_rejected`` is called with the stream and the records of each rejected post.
     """
 
     def __init__(
         self,
         count: int,
         log: LogSettings,
-        tell: Callable[[Replayed | Restored], None],
-        take_back: TakeBack,
+        report: Callable[[Replayed | Restored], None],
+        on_rejected: OnRejected,
     ) -> None:
         self.count = count
-        self.take_back = take_back
+        self.on_rejected = on_rejected
         self.by_stream = {
-            stream: ledger_shard(stream, log, tell) for stream in ledger_streams(count)
+            stream: ledger_shard(stream, log, report)
+            for stream in ledger_streams(count)
         }
 
     def of_budget(self, budget: str) -> LedgerShard:
@@ -58,21 +59,21 @@
             self.post(self.of_budget(budget), rows)
 
     def post(self, shard: LedgerShard, records: Iterable[Record]) -> None:
-        """Post records; those that the writer rejects are passed to ``take_back``."""
+        """Post records; those that the writer rejects are passed to ``on_rejected``."""
         rows = tuple(records)
         if rows:
             future = shard.writer.post(rows)
-            future.add_done_callback(lambda done: self.check(shard, rows, done))
+            future.add_done_callback(lambda done: self.on_post_done(shard, rows, done))
 
-    def check(
+    def on_post_done(
         self, shard: LedgerShard, rows: tuple[Record, ...], done: "Future[PostOutcome]"
     ) -> None:
-        """Pass the records of a rejected post to ``take_back``."""
+        """Pass the records of a rejected post to ``on_rejected``."""
         if done.cancelled():
             return
         match done.result():
             case Result(tag="error"):
-                self.take_back(shard.stream, rows)
+                self.on_rejected(shard.stream, rows)
 
     async def close(self, patience: float) -> None:
         """Flush all writers for up to ``patience`` seconds, then stop."""
--- a/libs/entry/src/clementinebend_entry/succession.py
+++ b/libs/entry/src/clementinebend_entry/succession.py
@@ -4,7 +4,7 @@
 
 from clementinebend_entry.holders import Holders
 from clementinebend_entry.ledger_events import WitnessesSeen
-from clementinebend_entry.shards import Shards
+from clementinebend_entry.shards import LedgerShards
 from clementinebend_ledger.holder import HolderState, close_cleanly, plan, widen
 
 logger = getLogger(__name__)
@@ -16,7 +16,7 @@
 class Succession:
     """Writes for the holders to the shards; ``seen`` are witnesses in reach."""
 
-    def __init__(self, holders: Holders, shards: Shards, now: float) -> None:
+    def __init__(self, holders: Holders, shards: LedgerShards, now: float) -> None:
         self.holders = holders
         self.shards = shards
         self.seen = WitnessesSeen((), ())
--- a/libs/entry/src/clementinebend_entry/top_ups.py
+++ b/libs/entry/src/clementinebend_entry/top_ups.py
@@ -9,7 +9,7 @@
 
 from clementinebend_declarations.models import Declarations
 from clementinebend_entry.metrics import TOP_UPS_REPOSTED
-from clementinebend_entry.shards import Shards
+from clementinebend_entry.shards import LedgerShards
 from clementinebend_ledger.replay import LedgerState
 from clementinebend_membership.rendezvous import rendezvous
 from clementinebend_records.records import TopUp
@@ -73,7 +73,7 @@
 class TopUpPoster:
     """Posts the top-ups that are due; ``entries`` are the others in reach."""
 
-    def __init__(self, name: str, shards: Shards) -> None:
+    def __init__(self, name: str, shards: LedgerShards) -> None:
         self.name = name
         self.shards = shards
         self.declarations = Declarations()
