--- a/libs/entry/src/clementinebend_entry/succession.py
+++ b/libs/entry/src/clementinebend_entry/succession.py
@@ -1,4 +1,4 @@
-"""Appends what the holders plan, and goes over from one holder to the next."""
+"""Appends the records that the holders plan, and switches between holders."""
 
 from logging import getLogger
 
@@ -10,11 +10,14 @@
 logger = getLogger(__name__)
 
 PREPARE_INTERVAL_S = 5.0
-"""Restarts of sidecars in this time are taken in together."""
+"""Minimum time between preparations of a successor.
+
+One successor covers all sidecars that restart within it.
+"""
 
 
 class Succession:
-    """Writes for the holders to the shards; ``seen`` are witnesses in reach."""
+    """Posts the holders' records; ``seen`` holds the reachable witnesses."""
 
     def __init__(self, holders: Holders, shards: LedgerShards, now: float) -> None:
         self.holders = holders
@@ -24,7 +27,7 @@
         self.is_stopping = False
 
     def widen(self) -> None:
-        """Ask for the witnesses that are not in the holders' scopes."""
+        """Post scope extensions for reachable witnesses outside the holders' scopes."""
         for stream, shard in self.shards.by_stream.items():
             for holder in (self.holders.current, self.holders.successor):
                 if holder is not None:
@@ -32,19 +35,22 @@
                     self.shards.post(shard, records)
 
     def go_over_if_due(self) -> bool:
-        """Go on as another holder if this one is closed or the next is ready."""
+        """Switch to the next holder if the current one is closed or the next is ready.
+
+        Returns whether it switched.
+        """
         is_prepared = self.holders.is_prepared(self.seen, self.shards.by_stream)
         if self.is_stopping or not (self.holders.current.closed or is_prepared):
             return False
         old = self.holders.current.incarnation
         for budget, records in self.holders.go_over().items():
             self.shards.post(self.shards.of_budget(budget), records)
-        logger.info("holder %s ends, now %s", old, self.holders.current.incarnation)
+        logger.info("holder %s replaced by %s", old, self.holders.current.incarnation)
         self.widen()
         return True
 
     def prepare_if_due(self, now: float) -> None:
-        """Prepare another holder if a sidecar in scope was replaced."""
+        """Prepare a successor if a sidecar in scope was replaced."""
         is_early = now - self.prepared_at < PREPARE_INTERVAL_S
         if is_early or self.is_stopping or self.holders.successor is not None:
             return
@@ -54,7 +60,7 @@
             self.widen()
 
     def append_planned(self, now: float) -> None:
-        """Append what the holders plan; earlier ones end when nothing is left."""
+        """Append the planned records; close earlier holders that have nothing left."""
         delay = self.shards.delay
         self.holders.current, records = plan(self.holders.current, now, delay)
         self.shards.post_by_budget(records)
@@ -65,13 +71,13 @@
             self.close_spent(holder)
 
     def close_spent(self, holder: HolderState) -> None:
-        """Vouch that nothing of a holder is left."""
+        """Append the clean close of a holder that has nothing left."""
         _, records = close_cleanly(holder)
         for shard in self.shards.by_stream.values():
             self.shards.post(shard, records)
 
     def end(self) -> bool:
-        """End all holders in a planned stop; false if something is in flight."""
+        """Close all holders in a planned stop; return false if any is unsettled."""
         self.is_stopping = True
         if not self.holders.is_settled:
             return False
