--- a/libs/entry/src/clementinebend_entry/configuration.py
+++ b/libs/entry/src/clementinebend_entry/configuration.py
@@ -1,6 +1,6 @@
-"""The owner of the configuration in force: from the log, or from a peer.
+"""Holds the configuration in force, read from the log or received from a peer.
 
-A node's revision never goes down: a state is replaced only by one that has
+The revision of a node never decreases: a state is replaced only by one that has
 replayed more of the stream.
 """
 
@@ -43,7 +43,7 @@
 logger = getLogger(__name__)
 
 PEER_INTERVAL_S = 0.5
-"""How often peers are asked while the log cannot be reached."""
+"""How often peers are asked while the log is unreachable."""
 
 AskPeers = Callable[[], Awaitable[tuple[RevisionGive, ...]]]
 
@@ -79,7 +79,7 @@
 
     @property
     def configuration(self) -> Configuration:
-        """What is in force."""
+        """The configuration in force."""
         return configuration_of(self.state)
 
     @property
@@ -89,7 +89,7 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether there is anything to serve by."""
+        """Whether any revision is known."""
         return self.revision > 0
 
     def on_batch(self, offset: int, batch: Batch) -> None:
@@ -101,52 +101,54 @@
             self.check(outcome)
 
     def on_restore(self, checkpoint: Checkpoint) -> None:
-        """Go on from a checkpoint, unless what is known is as new."""
+        """Restore a checkpoint, unless the current state is at least as new."""
         self.replace(restore_configuration(checkpoint, self.state))
         last = self.state.sequences.get(self.writer.writer, 0)
         self.writer.on_restored(checkpoint.offset, last)
 
     def on_outcome(self, outcome: TailOutcome) -> None:
-        """Leave if the stream has records of a newer schema."""
+        """Call ``on_unreadable`` if the stream has records of a newer schema."""
         if isinstance(outcome, NewerSchema):
             self.on_unreadable()
 
     def check(self, outcome: ConfigurationOutcome) -> None:
-        """Leave if an activated schema cannot be read; stop if states differ."""
+        """Call ``on_unreadable`` for an unsupported schema; raise if states differ."""
         if isinstance(outcome, Unreadable):
             self.on_unreadable()
         if isinstance(outcome, Diverged):
             raise BrokenInvariant(f"configuration checkpoints differ: {outcome}")
 
     def replace(self, state: ConfigurationState) -> None:
-        """Put a state in force that has replayed more of the stream."""
+        """Switch to a state that has replayed more of the stream."""
         before = self.revision
         self.state = state
         if self.revision < before:
-            raise BrokenInvariant(f"revision went down from {before}")
+            raise BrokenInvariant(
+                f"configuration revision decreased from {before} to {self.revision}"
+            )
         if self.revision == before:
             return
         self.directory = directory_of(self.configuration)
         REVISION.set(self.revision)
-        logger.info("revision %d is in force", self.revision)
+        logger.info("configuration revision %d is in force", self.revision)
         self.on_change(self.directory)
 
     def take(self, give: RevisionGive) -> None:
-        """Take the configuration of a peer, if it is newer."""
+        """Switch to the configuration of a peer if it is newer and readable."""
         match configuration_from_bytes(give.state):
             case Result(tag="ok", ok=state):
                 is_readable = state.configuration.activated_schema <= self.readable
                 if is_readable and state.configuration.revision > self.revision:
                     self.replace(newest(self.state, state))
             case Result(error=reason):
-                logger.warning("a peer's configuration is unusable: %s", reason)
+                logger.warning("cannot decode the configuration of a peer: %s", reason)
 
     def give(self, question: int) -> RevisionGive:
-        """Return the configuration in force, for a peer."""
+        """Return the reply to a peer that asks for the configuration."""
         return RevisionGive(question, self.revision, configuration_bytes(self.state))
 
     async def ask_peers(self, ask: AskPeers) -> None:
-        """Ask peers, for ever, while the log cannot be read."""
+        """Ask peers for their configuration whenever the log is unreadable, forever."""
         while True:
             if self.tail.failures:
                 for give in await ask():
