--- a/tests/unit/entry/test_claims.py
+++ b/tests/unit/entry/test_claims.py
@@ -1,4 +1,8 @@
-"""Claims are given up when the log fails, and taken over by nobody."""
+"""Tests of claims during log outages and of two entries that claim one key.
+
+An abandoned claim must not win once the log is back, and a call must not be
+reported as not run while another run holds its key.
+"""
 
 from asyncio import create_task, get_running_loop, timeout
 from collections.abc import AsyncIterator
@@ -46,7 +50,7 @@
         async def is_heard() -> bool:
             return claims_client.can_claim(OTHER)
 
-        await wait_until(is_heard, "the log is heard again")
+        await wait_until(is_heard, "the log is readable again")
         again = await claims_client.claim(OTHER, "d", RunId("r3"), deadline)
         assert isinstance(again, ClaimWon)
         view = claims_client.claim_of(OTHER)
@@ -68,7 +72,7 @@
 
 
 class Contest(NamedTuple):
-    """A key that ``first`` holds without having run, and a call that wants it."""
+    """A key that ``first`` has claimed without a run, and a call on ``second``."""
 
     log: FakeLog
     first: ClaimsClient
@@ -98,7 +102,7 @@
 
 
 async def free_after_the_next_batch(held: Contest) -> None:
-    """Let the holder free the key once the other entry has written."""
+    """Free the key of ``first`` once the other entry has written a batch."""
 
     async def is_written() -> bool:
         return held.log.streams[STREAM].end >= 2
