--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -158,7 +158,7 @@
         for outcome in event.outcomes:
             count_outcome(outcome, own)
             self.learn(outcome, now, event.stream)
-        if self.succession.go_over_if_due():
+        if self.succession.switch_if_due():
             self.listener.on_rotated()
         budgets = touched_budgets(event.outcomes)
         self.note_budgets(self.holder.budgets if budgets is None else budgets)
@@ -169,7 +169,7 @@
     def _(self, event: Restored) -> None:
         state = self.shards.by_stream[event.stream].state
         self.holders.resume(state, event.stream)
-        if self.succession.go_over_if_due():
+        if self.succession.switch_if_due():
             self.listener.on_rotated()
         self.dirty.set()
 
@@ -208,7 +208,7 @@
 
     @take.register
     def _(self, event: WitnessesSeen) -> None:
-        self.succession.seen = event
+        self.succession.reachable_witnesses = event
         self.succession.widen()
 
     @take.register
@@ -295,6 +295,6 @@
 
     async def close(self, patience: float) -> bool:
         """End the holder; return whether its clean close is on the log."""
-        is_clean = self.succession.end()
+        is_clean = self.succession.close_all()
         await self.shards.close(patience)
         return is_clean and self.shards.is_flushed
--- a/libs/entry/src/clementinebend_entry/succession.py
+++ b/libs/entry/src/clementinebend_entry/succession.py
@@ -17,12 +17,12 @@
 
 
 class Succession:
-    """Posts the holders' records; ``seen`` holds the reachable witnesses."""
+    """Posts the holders' records; ``reachable_witnesses`` extends their scopes."""
 
     def __init__(self, holders: Holders, shards: LedgerShards, now: float) -> None:
         self.holders = holders
         self.shards = shards
-        self.seen = WitnessesSeen((), ())
+        self.reachable_witnesses = WitnessesSeen((), ())
         self.prepared_at = now
         self.is_stopping = False
 
@@ -31,15 +31,17 @@
         for stream, shard in self.shards.by_stream.items():
             for holder in (self.holders.current, self.holders.successor):
                 if holder is not None:
-                    _, records = widen(holder, *self.seen, stream)
+                    _, records = widen(holder, *self.reachable_witnesses, stream)
                     self.shards.post(shard, records)
 
-    def go_over_if_due(self) -> bool:
+    def switch_if_due(self) -> bool:
         """Switch to the next holder if the current one is closed or the next is ready.
 
         Returns whether it switched.
         """
-        is_prepared = self.holders.is_prepared(self.seen, self.shards.by_stream)
+        is_prepared = self.holders.is_prepared(
+            self.reachable_witnesses, self.shards.by_stream
+        )
         if self.is_stopping or not (self.holders.current.closed or is_prepared):
             return False
         old = self.holders.current.incarnation
@@ -54,7 +56,7 @@
         is_early = now - self.prepared_at < PREPARE_INTERVAL_S
         if is_early or self.is_stopping or self.holders.successor is not None:
             return
-        if self.holders.is_outdated(self.seen, self.shards.by_stream):
+        if self.holders.is_outdated(self.reachable_witnesses, self.shards.by_stream):
             self.prepared_at = now
             self.holders.prepare()
             self.widen()
@@ -76,7 +78,7 @@
         for shard in self.shards.by_stream.values():
             self.shards.post(shard, records)
 
-    def end(self) -> bool:
+    def close_all(self) -> bool:
         """Close all holders in a planned stop; return false if any is unsettled."""
         self.is_stopping = True
         if not self.holders.is_settled:
