--- a/libs/entry/src/clementinebend_entry/configuration.py
+++ b/libs/entry/src/clementinebend_entry/configuration.py
@@ -54,11 +54,11 @@
     def __init__(
         self,
         log: LogSettings,
-        readable: int,
+        readable_schema: int,
         on_change: Callable[[Directory], None],
         on_unreadable: Callable[[], None],
     ) -> None:
-        self.readable = readable
+        self.readable_schema = readable_schema
         self.on_change = on_change
         self.on_unreadable = on_unreadable
         self.state: ConfigurationState = empty_configuration()
@@ -95,14 +95,16 @@
     def on_batch(self, offset: int, batch: Batch) -> None:
         """Replay the next batch."""
         self.writer.on_read(offset, batch)
-        state, outcomes = replay_configuration(self.state, offset, batch, self.readable)
-        self.replace(state)
+        state, outcomes = replay_configuration(
+            self.state, offset, batch, self.readable_schema
+        )
+        self.replace_state(state)
         for outcome in outcomes:
-            self.check(outcome)
+            self.handle_outcome(outcome)
 
     def on_restore(self, checkpoint: Checkpoint) -> None:
         """Restore a checkpoint, unless the current state is at least as new."""
-        self.replace(restore_configuration(checkpoint, self.state))
+        self.replace_state(restore_configuration(checkpoint, self.state))
         last = self.state.sequences.get(self.writer.writer, 0)
         self.writer.on_restored(checkpoint.offset, last)
 
@@ -111,14 +113,14 @@
         if isinstance(outcome, NewerSchema):
             self.on_unreadable()
 
-    def check(self, outcome: ConfigurationOutcome) -> None:
+    def handle_outcome(self, outcome: ConfigurationOutcome) -> None:
         """Call ``on_unreadable`` for an unsupported schema; raise if states differ."""
         if isinstance(outcome, Unreadable):
             self.on_unreadable()
         if isinstance(outcome, Diverged):
             raise BrokenInvariant(f"configuration checkpoints differ: {outcome}")
 
-    def replace(self, state: ConfigurationState) -> None:
+    def replace_state(self, state: ConfigurationState) -> None:
         """Switch to a state that has replayed more of the stream."""
         before = self.revision
         self.state = state
@@ -133,17 +135,19 @@
         logger.info("configuration revision %d is in force", self.revision)
         self.on_change(self.directory)
 
-    def take(self, give: RevisionGive) -> None:
+    def receive_from_peer(self, reply: RevisionGive) -> None:
         """Switch to the configuration of a peer if it is newer and readable."""
-        match configuration_from_bytes(give.state):
+        match configuration_from_bytes(reply.state):
             case Result(tag="ok", ok=state):
-                is_readable = state.configuration.activated_schema <= self.readable
+                is_readable = (
+                    state.configuration.activated_schema <= self.readable_schema
+                )
                 if is_readable and state.configuration.revision > self.revision:
-                    self.replace(newest(self.state, state))
+                    self.replace_state(newest(self.state, state))
             case Result(error=reason):
                 logger.warning("cannot decode the configuration of a peer: %s", reason)
 
-    def give(self, question: int) -> RevisionGive:
+    def reply(self, question: int) -> RevisionGive:
         """Return the reply to a peer that asks for the configuration."""
         return RevisionGive(question, self.revision, configuration_bytes(self.state))
 
@@ -151,8 +155,8 @@
         """Ask peers for their configuration whenever the log is unreadable, forever."""
         while True:
             if self.tail.failures:
-                for give in await ask():
-                    self.take(give)
+                for reply in await ask():
+                    self.receive_from_peer(reply)
             await sleep(PEER_INTERVAL_S)
 
     async def close(self, patience: float) -> None:
--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -94,7 +94,7 @@
             self.hello,
             self.pointers,
             self.own_witness,
-            self.configuration.give,
+            self.configuration.reply,
             stop.set,
         )
         self.closer = HolderCloser(
