--- a/libs/entry/src/clementinebend_entry/call_state.py
+++ b/libs/entry/src/clementinebend_entry/call_state.py
@@ -82,7 +82,7 @@
     def tell(self, outcome: ErrorOutcome | Whole) -> None:
         """Pass the outcome to the output, from which the caller is answered."""
         if isinstance(outcome, Refusal):
-            outcome = self.claim.honest(outcome)
+            outcome = self.claim.checked_refusal(outcome)
         self.output.finish(outcome)
 
     def drop_pointer(self) -> None:
--- a/libs/entry/src/clementinebend_entry/closer.py
+++ b/libs/entry/src/clementinebend_entry/closer.py
@@ -1,4 +1,4 @@
-"""The task that closes dead holders and collects what their witnesses know."""
+"""Background task that closes dead holders and collects their witnesses' receipts."""
 
 from asyncio import get_running_loop, sleep
 from collections.abc import Iterable
@@ -17,8 +17,8 @@
 from clementinebend_entry.local_witness import LocalWitness
 from clementinebend_entry.message_link import MessageLink
 from clementinebend_entry.metrics import CLOSES
+from clementinebend_entry.peer_liveness import PeerLiveness
 from clementinebend_entry.peer_pool import PeerPool
-from clementinebend_entry.reach import Reach
 from clementinebend_entry.receipts import ReceiptTracker
 from clementinebend_entry.settles import settle_records
 from clementinebend_entry.shard import LedgerShard
@@ -35,12 +35,15 @@
 
 logger = getLogger(__name__)
 
-REPEAT_S = 30.0
-"""After this time a record that had no effect is posted again."""
+REPOST_INTERVAL_S = 30.0
+"""Minimum time before a record that had no effect is posted again."""
 
 
-class Closer:
-    """Acts on what the ledger shards show; its records repeat harmlessly."""
+class HolderCloser:
+    """Closes holders by the state of the ledger shards.
+
+    Its records are idempotent, so several entries may append them.
+    """
 
     def __init__(
         self,
@@ -49,48 +52,48 @@
         peers: PeerPool,
         receipts: ReceiptTracker,
         own: LocalWitness,
-        reach: Reach,
+        peer_liveness: PeerLiveness,
     ) -> None:
         self.ledger = ledger
         self.sidecars = sidecars
         self.peers = peers
         self.receipts = receipts
         self.own = own
-        self.reach = reach
+        self.peer_liveness = peer_liveness
         self.loop = get_running_loop()
         self.first_seen: dict[tuple[str, Incarnation], float] = {}
         self.posted: dict[tuple[str, ...], float] = {}
 
     async def run(self) -> None:
-        """Look at all shards again and again."""
+        """Check all ready shards periodically, forever."""
         while True:
             await sleep(NOTICE_INTERVAL_S)
             entries = self.entries()
             for shard in self.ledger.shards.by_stream.values():
                 if shard.is_ready:
-                    self.look(shard, entries)
+                    self.process_shard(shard, entries)
 
     def entries(self) -> Entries:
-        """Return what is seen of the other entries now."""
+        """Return the current view of the other entries."""
         now = self.loop.time()
         return Entries(
             self.ledger.name,
             self.ledger.holders.incarnations(),
             self.peers.live(),
-            self.reach.overdue(now),
+            self.peer_liveness.overdue(now),
         )
 
-    def look(self, shard: LedgerShard, entries: Entries) -> None:
-        """Close what is to be closed in a shard, and ask its witnesses."""
+    def process_shard(self, shard: LedgerShard, entries: Entries) -> None:
+        """Close the holders of a shard that are due, and notify their witnesses."""
         for holder in shard.state.holders:
             if process_name_of(holder) != entries.name:
-                self.reach.on_holder(holder, self.loop.time())
+                self.peer_liveness.on_holder(holder, self.loop.time())
         for holder in holders_to_close(shard.state, entries):
             self.close(shard, holder)
         notices = [
             notice
             for notice in open_notices(shard.state)
-            if self.is_turn(shard, notice.holder, entries)
+            if self.is_responsible(shard, notice.holder, entries)
         ]
         current = {
             name: link.peer.incarnation
@@ -100,12 +103,12 @@
         for witness in gone_peers(notices, current, shard.state):
             self.close(shard, witness)
         for notice in notices:
-            self.ask(shard, notice)
+            self.send_notice(shard, notice)
 
-    def is_turn(
+    def is_responsible(
         self, shard: LedgerShard, holder: Incarnation, entries: Entries
     ) -> bool:
-        """Return whether this entry is to look after a closed holder by now."""
+        """Return whether this entry is responsible for a closed holder by now."""
         if process_name_of(holder) == entries.name:
             return True
         now = self.loop.time()
@@ -113,24 +116,30 @@
         return now - since >= turn_delay(holder, entries)
 
     def close(self, shard: LedgerShard, holder: Incarnation) -> None:
-        """Append the close of a holder, once."""
-        if not self.is_first(shard.stream, holder):
+        """Append the close of a holder, unless it was posted recently."""
+        if not self.should_post(shard.stream, holder):
             return
         logger.info("%s: closing holder %s", shard.stream, holder)
         CLOSES.labels("close").inc()
-        self.reach.on_close(process_name_of(holder))
+        self.peer_liveness.on_close(process_name_of(holder))
         self.ledger.shards.post(shard, (HolderClose(holder, self.ledger.incarnation),))
 
-    def is_first(self, *subject: str) -> bool:
-        """Return whether a record is to be posted; again only after a long time."""
+    def should_post(self, *subject: str) -> bool:
+        """Return whether a record is due to be posted, and note that it is.
+
+        A record posted in the last ``REPOST_INTERVAL_S`` seconds is not due again.
+        """
         now = self.loop.time()
-        if now - self.posted.get(subject, float("-inf")) < REPEAT_S:
+        if now - self.posted.get(subject, float("-inf")) < REPOST_INTERVAL_S:
             return False
         self.posted[subject] = now
         return True
 
-    def ask(self, shard: LedgerShard, notice: Notice) -> None:
-        """Send a notice to a witness, or note that it is lost."""
+    def send_notice(self, shard: LedgerShard, notice: Notice) -> None:
+        """Send a close notice to a witness.
+
+        If the sidecar now runs as another incarnation, it is acknowledged as lost.
+        """
         if notice.witness in self.ledger.holders.incarnations():
             reply = self.own.close(shard.stream, notice.holder)
             self.on_reply(reply._replace(witness=notice.witness))
@@ -146,18 +155,18 @@
             self.acknowledge(shard, notice, (), lost=True)
 
     def link_to(self, name: str, is_sidecar: bool) -> MessageLink | None:
-        """Return the link to a witness."""
+        """Return the link to a sidecar or peer by name."""
         return self.sidecars.link_to(name) if is_sidecar else self.peers.links.get(name)
 
     def on_reply(self, reply: CloseReply) -> None:
-        """Bill what a witness knows, and log that it refuses the holder."""
+        """Settle the receipts of a witness and append its acknowledgement."""
         if reply.pending:
             return
         for shard in self.ledger.shards.by_stream.values():
             status = witness_status(shard.state, reply.holder, reply.witness)
             if status == WitnessStatus.OPEN:
                 notice = Notice(reply.holder, reply.witness, True)
-                known = self.of_shard(reply.receipts, shard)
+                known = self.receipts_of_shard(reply.receipts, shard)
                 self.acknowledge(shard, notice, known)
 
     def acknowledge(
@@ -167,8 +176,8 @@
         receipts: Iterable[Receipt],
         lost: bool = False,
     ) -> None:
-        """Append receipts and acknowledgement in one batch, once."""
-        if not self.is_first(shard.stream, notice.holder, notice.witness):
+        """Append receipts and acknowledgement in one batch, unless done recently."""
+        if not self.should_post(shard.stream, notice.holder, notice.witness):
             return
         CLOSES.labels("lost" if lost else "acknowledged").inc()
         known = tuple(receipts)
@@ -177,10 +186,10 @@
         ack = CloseAck(notice.holder, notice.witness, lost)
         self.ledger.shards.post(shard, (*settle_records(known), ack))
 
-    def of_shard(
+    def receipts_of_shard(
         self, receipts: Iterable[Receipt], shard: LedgerShard
     ) -> tuple[Receipt, ...]:
-        """Return the receipts whose budgets belong to a shard."""
+        """Return the receipts whose budgets are stored in a shard."""
         count = self.ledger.shards.count
         return tuple(
             receipt
@@ -192,7 +201,7 @@
 def witness_status(
     state: LedgerState, holder: Incarnation, witness: Incarnation
 ) -> int | None:
-    """Return what the log knows of a witness of a closed holder."""
+    """Return a witness's status in the log; None if the holder is not closed."""
     entry = state.holders.get(holder)
     if entry is None or not entry["closed"]:
         return None
--- a/libs/entry/src/clementinebend_entry/configuration.py
+++ b/libs/entry/src/clementinebend_entry/configuration.py
@@ -1,6 +1,6 @@
-"""The owner of the configuration in force: from the log, or from a peer.
+"""Holds the configuration in force, read from the log or received from a peer.
 
-A node's revision never goes down: a state is replaced only by one that has
+The revision of a node never decreases: a state is replaced only by one that has
 replayed more of the stream.
 """
 
@@ -43,7 +43,7 @@
 logger = getLogger(__name__)
 
 PEER_INTERVAL_S = 0.5
-"""How often peers are asked while the log cannot be reached."""
+"""How often peers are asked while the log is unreachable."""
 
 AskPeers = Callable[[], Awaitable[tuple[ConfigurationReply, ...]]]
 
@@ -54,11 +54,11 @@
     def __init__(
         self,
         log: LogSettings,
-        readable: int,
+        readable_schema: int,
         on_change: Callable[[Directory], None],
         on_unreadable: Callable[[], None],
     ) -> None:
-        self.readable = readable
+        self.readable_schema = readable_schema
         self.on_change = on_change
         self.on_unreadable = on_unreadable
         self.state: ConfigurationState = empty_configuration_state()
@@ -79,7 +79,7 @@
 
     @property
     def configuration(self) -> Configuration:
-        """What is in force."""
+        """The configuration in force."""
         return configuration_of(self.state)
 
     @property
@@ -89,70 +89,76 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether there is anything to serve by."""
+        """Whether any revision is known."""
         return self.revision > 0
 
     def on_batch(self, offset: int, batch: Batch) -> None:
         """Replay the next batch."""
         self.writer.on_read(offset, batch)
-        state, outcomes = replay_configuration(self.state, offset, batch, self.readable)
-        self.replace(state)
+        state, outcomes = replay_configuration(
+            self.state, offset, batch, self.readable_schema
+        )
+        self.replace_state(state)
         for outcome in outcomes:
-            self.check(outcome)
+            self.handle_outcome(outcome)
 
     def on_restore(self, checkpoint: Checkpoint) -> None:
-        """Go on from a checkpoint, unless what is known is as new."""
-        self.replace(restore_configuration(checkpoint, self.state))
+        """Restore a checkpoint, unless the current state is at least as new."""
+        self.replace_state(restore_configuration(checkpoint, self.state))
         last = self.state.sequences.get(self.writer.writer, 0)
         self.writer.on_restored(checkpoint.offset, last)
 
     def on_outcome(self, outcome: TailOutcome) -> None:
-        """Leave if the stream has records of a newer schema."""
+        """Call ``on_unreadable`` if the stream has records of a newer schema."""
         if isinstance(outcome, NewerSchema):
             self.on_unreadable()
 
-    def check(self, outcome: ConfigurationOutcome) -> None:
-        """Leave if an activated schema cannot be read; stop if states differ."""
+    def handle_outcome(self, outcome: ConfigurationOutcome) -> None:
+        """Call ``on_unreadable`` for an unsupported schema; raise if states differ."""
         if isinstance(outcome, UnsupportedSchema):
             self.on_unreadable()
         if isinstance(outcome, Diverged):
             raise BrokenInvariant(f"configuration checkpoints differ: {outcome}")
 
-    def replace(self, state: ConfigurationState) -> None:
-        """Put a state in force that has replayed more of the stream."""
+    def replace_state(self, state: ConfigurationState) -> None:
+        """Switch to a state that has replayed more of the stream."""
         before = self.revision
         self.state = state
         if self.revision < before:
-            raise BrokenInvariant(f"revision went down from {before}")
+            raise BrokenInvariant(
+                f"configuration revision decreased from {before} to {self.revision}"
+            )
         if self.revision == before:
             return
         self.directory = directory_of(self.configuration)
         REVISION.set(self.revision)
-        logger.info("revision %d is in force", self.revision)
+        logger.info("configuration revision %d is in force", self.revision)
         self.on_change(self.directory)
 
-    def take(self, give: ConfigurationReply) -> None:
-        """Take the configuration of a peer, if it is newer."""
-        match decode_configuration_state(give.state):
+    def receive_from_peer(self, reply: ConfigurationReply) -> None:
+        """Switch to the configuration of a peer if it is newer and readable."""
+        match decode_configuration_state(reply.state):
             case Result(tag="ok", ok=state):
-                is_readable = state.configuration.activated_schema <= self.readable
+                is_readable = (
+                    state.configuration.activated_schema <= self.readable_schema
+                )
                 if is_readable and state.configuration.revision > self.revision:
-                    self.replace(newer_state(self.state, state))
+                    self.replace_state(newer_state(self.state, state))
             case Result(error=reason):
-                logger.warning("a peer's configuration is unusable: %s", reason)
+                logger.warning("cannot decode the configuration of a peer: %s", reason)
 
-    def give(self, question: int) -> ConfigurationReply:
-        """Return the configuration in force, for a peer."""
+    def reply(self, question: int) -> ConfigurationReply:
+        """Return the reply to a peer that asks for the configuration."""
         return ConfigurationReply(
             question, self.revision, encode_configuration_state(self.state)
         )
 
     async def ask_peers(self, ask: AskPeers) -> None:
-        """Ask peers, for ever, while the log cannot be read."""
+        """Ask peers for their configuration whenever the log is unreadable, forever."""
         while True:
             if self.tail.failures:
-                for give in await ask():
-                    self.take(give)
+                for reply in await ask():
+                    self.receive_from_peer(reply)
             await sleep(PEER_INTERVAL_S)
 
     async def close(self, patience: float) -> None:
--- a/libs/entry/src/clementinebend_entry/execution.py
+++ b/libs/entry/src/clementinebend_entry/execution.py
@@ -18,7 +18,7 @@
 from clementinebend_entry.joining import join, join_earlier
 from clementinebend_entry.metrics import RUNS
 from clementinebend_entry.outcomes import Refusal, Unknown
-from clementinebend_entry.pointer_desk import Standing
+from clementinebend_entry.pointer_client import ExistingRun
 from clementinebend_entry.run_opening import build_run_start, build_ticket
 from clementinebend_entry.run_results import (
     RunWhole,
@@ -110,9 +110,9 @@
             await self.give_up(self.refusal or Refusal(reason, chosen.retry_after_ms))
             return
         link, choice = chosen
-        standing = await self.place_pointer(choice.endpoint)
-        if standing is not None:
-            await self.give_up_if_refused(await join(self, standing))
+        existing_run = await self.place_pointer(choice.endpoint)
+        if existing_run is not None:
+            await self.give_up_if_refused(await join(self, existing_run))
             return
         self.waits_for_budget = True
         refusal = await self.account.reserve(self.run_id)
@@ -150,7 +150,7 @@
             return None
         return build_ticket(reservation, peer)
 
-    async def place_pointer(self, endpoint: str) -> Standing | None:
+    async def place_pointer(self, endpoint: str) -> ExistingRun | None:
         """Publish a pointer to this run; return that of an earlier run, if any."""
         if not self.call.has_idempotency_key:
             return None
@@ -160,7 +160,7 @@
         """Answer a retry of a claimed call from its record; return if it did."""
         if self.call.idempotent or self.claim.is_won:
             return False
-        piece = self.claim.recorded()
+        piece = self.claim.recorded_answer()
         if piece is not None:
             self.end(piece)
         return piece is not None
@@ -172,7 +172,7 @@
         """
         if self.call.idempotent or self.claim.is_won:
             return True
-        trouble = await self.claim.win(self.run_id)
+        trouble = await self.claim.acquire(self.run_id)
         if trouble is None:
             return True
         if isinstance(trouble, Refusal):
@@ -224,7 +224,7 @@
         if self.ended:
             return
         trouble = self.account.trouble() or self.joined_outcome
-        await self.claim.confirm()
+        await self.claim.confirm_refusal()
         self.end(trouble or refusal)
         if trouble is None:
             self.claim.void()
--- a/libs/entry/src/clementinebend_entry/fleet.py
+++ b/libs/entry/src/clementinebend_entry/fleet.py
@@ -10,8 +10,8 @@
 
 from clementinebend_entry.admission_gate import AdmissionGate
 from clementinebend_entry.borrower import Borrower
-from clementinebend_entry.claims import ClaimsDesk
-from clementinebend_entry.closer import Closer
+from clementinebend_entry.claims import ClaimsClient
+from clementinebend_entry.closer import HolderCloser
 from clementinebend_entry.configuration import ConfigurationKeeper
 from clementinebend_entry.heartbeat import heartbeat_interval
 from clementinebend_entry.ledger import Ledger
@@ -19,10 +19,10 @@
 from clementinebend_entry.lender import Lender
 from clementinebend_entry.local_witness import LocalWitness
 from clementinebend_entry.lookup import Directory
+from clementinebend_entry.peer_liveness import PeerLiveness
 from clementinebend_entry.peer_pool import PeerPool, entry_hello
 from clementinebend_entry.peer_server import PeerServer
-from clementinebend_entry.pointer_desk import PointerDesk
-from clementinebend_entry.reach import Reach
+from clementinebend_entry.pointer_client import PointerClient
 from clementinebend_entry.receipt_keeper import ReceiptKeeper
 from clementinebend_entry.receipt_replicas import RemoteReceiptReplicas
 from clementinebend_entry.receipts import ReceiptTracker
@@ -65,11 +65,13 @@
         client = http_log_client(settings.log_url, self.http, settings.name)
         log = LogSettings(client, incarnation)
         names = tuple(peer.name for peer in settings.peers)
-        self.reach = Reach(names, settings.suspect_after_s, self.loop.time())
+        self.peer_liveness = PeerLiveness(
+            names, settings.suspect_after_s, self.loop.time()
+        )
         self.ledger = Ledger(
             settings.name, incarnation, settings.ledger_shards, log, self
         )
-        self.claims = ClaimsDesk(incarnation, settings.claims_shards, log)
+        self.claims = ClaimsClient(incarnation, settings.claims_shards, log)
         self.configuration = ConfigurationKeeper(
             log, settings.schema_version, self.on_configuration, stop.set
         )
@@ -87,23 +89,23 @@
         self.peers = PeerPool(settings, self.hello, self.on_peer_news)
         replicas = RemoteReceiptReplicas(self.ledger, self.pool, self.peers)
         self.receipts = ReceiptTracker(settings.zone, replicas)
-        self.pointers = PointerDesk(settings.name, settings.kept_pointers, self.peers)
+        self.pointers = PointerClient(settings.name, settings.kept_pointers, self.peers)
         self.local_witness = LocalWitness(Lender(self.ledger), self.keeper)
         self.borrower = Borrower(self.ledger, self.peers)
         self.peer_server = PeerServer(
             self.hello,
             self.pointers,
             self.local_witness,
-            self.configuration.give,
+            self.configuration.reply,
             stop.set,
         )
-        self.closer = Closer(
+        self.closer = HolderCloser(
             self.ledger,
             self.pool,
             self.peers,
             self.receipts,
             self.local_witness,
-            self.reach,
+            self.peer_liveness,
         )
         self.services = Services(
             self.gate,
@@ -150,7 +152,7 @@
 
     def on_written(self, writer: Incarnation, now: float) -> None:
         """Take in that an entry wrote to the log."""
-        self.reach.on_written(writer, now)
+        self.peer_liveness.on_written(writer, now)
 
     def on_logged(self, bill: Bill) -> None:
         """Take in that a request key is billed."""
@@ -215,14 +217,14 @@
 
     @on_peer_news.register
     def _(self, news: LinkUp) -> None:
-        self.reach.on_up(news.name, news.hello.incarnation, self.loop.time())
+        self.peer_liveness.on_up(news.name, news.hello.incarnation, self.loop.time())
         self.see_witnesses()
 
     @on_peer_news.register
     def _(self, news: LinkDown) -> None:
         peer = self.peers.links[news.name].peer
         if peer is not None:
-            self.reach.on_down(news.name, peer.incarnation, self.loop.time())
+            self.peer_liveness.on_down(news.name, peer.incarnation, self.loop.time())
         self.see_witnesses()
 
     @on_peer_news.register
@@ -261,7 +263,7 @@
         while True:
             match await hosts.list():
                 case Result(tag="ok", ok=listed):
-                    self.reach.on_hosts(listed, self.loop.time())
+                    self.peer_liveness.on_hosts(listed, self.loop.time())
             await sleep(HOSTS_INTERVAL_S)
 
     async def close(self) -> None:
--- a/libs/entry/src/clementinebend_entry/following.py
+++ b/libs/entry/src/clementinebend_entry/following.py
@@ -1,9 +1,10 @@
-"""Follows one run at one sidecar to its end, over connections that may break.
+"""Follows one run at one sidecar to its end, across reconnects.
 
-The opening message is sent again over each new connection. A ``RunStart`` of
-a run that the sidecar knows attaches to it, one that it has never seen starts
-it once, and with no time left it is refused and remembered as refused. So
-repeating it is safe for any call, and settles whether the run took place.
+The opening message is sent again over each new connection. If the sidecar knows
+the run of a ``RunStart``, the message attaches to that run; otherwise it starts
+the run once. If no time is left, the sidecar refuses the run and remembers the
+refusal. Repeating the message is therefore safe for any call, and determines
+whether the run took place.
 """
 
 from asyncio import Queue, timeout
@@ -37,8 +38,8 @@
 from clementinebend_records.reasons import NotRunReason
 
 MILLISECONDS = 1000
-UNKNOWN_REASON = NotRunReason.CANCELLED
-"""Stands for a reason that only a newer sidecar knows."""
+FALLBACK_REASON = NotRunReason.CANCELLED
+"""Used in place of a reason that only a newer sidecar knows."""
 
 Opening = RunStart | RunAttach
 
@@ -46,8 +47,8 @@
 class Follower:
     """Follows a run that ``opening`` starts or attaches to.
 
-    ``patience`` bounds each time without a connection, in seconds; None waits
-    for as long as it takes. ``deadline`` is in monotonic seconds.
+    ``follow`` takes the maximum time without a connection, in seconds; None sets
+    no limit. ``deadline`` is in monotonic seconds.
     """
 
     def __init__(
@@ -66,36 +67,36 @@
 
     @property
     def run(self) -> RunId:
-        """The id under which the sidecar tells of the run."""
+        """The run id that the sidecar uses in its messages on this run."""
         if isinstance(self.opening, RunStart):
             return self.opening.run
         return self.opening.attachment
 
-    async def follow(self, patience: float | None) -> RunResult:
-        """Open the run and take its messages until it has ended."""
+    async def follow(self, reconnect_timeout: float | None) -> RunResult:
+        """Open the run and handle its messages until it has ended."""
         events = self.link.open_run(self.run)
         try:
-            self.open()
-            return await self.take_all(events, patience)
+            self.send_opening()
+            return await self.handle_events(events, reconnect_timeout)
         finally:
             self.link.close_run(self.run)
 
-    async def take_all(
-        self, events: "Queue[RunEvent]", patience: float | None
+    async def handle_events(
+        self, events: "Queue[RunEvent]", reconnect_timeout: float | None
     ) -> RunResult:
-        """Take messages until one of them ends the run."""
+        """Handle events until one of them ends the run."""
         while True:
             event = await events.get()
-            result = take(event, self.output)
+            result = handle_event(event, self.output)
             if isinstance(event, LinkLost):
-                result = await self.reopen(patience)
+                result = await self.reopen(reconnect_timeout)
             if result is not None:
                 return result
 
-    async def reopen(self, patience: float | None) -> RunResult | None:
+    async def reopen(self, reconnect_timeout: float | None) -> RunResult | None:
         """Wait for a new connection and open the run again there."""
         try:
-            async with timeout(patience):
+            async with timeout(reconnect_timeout):
                 await self.link.up.wait()
         except TimeoutError:
             return SidecarUnreachable()
@@ -104,51 +105,51 @@
             return SidecarGone()
         ATTACHMENTS.labels("link_lost").inc()
         self.output.rewind()
-        self.open()
+        self.send_opening()
         return None
 
-    def open(self) -> None:
-        """Send the opening message with the time that is left."""
+    def send_opening(self) -> None:
+        """Send the opening message with the remaining time."""
         opening = self.opening
         if isinstance(opening, RunStart):
-            left = max(0, int((self.deadline - monotonic()) * MILLISECONDS))
-            opening = opening._replace(deadline_ms=left)
+            remaining_ms = max(0, int((self.deadline - monotonic()) * MILLISECONDS))
+            opening = opening._replace(deadline_ms=remaining_ms)
         self.link.post(opening)
 
 
 @singledispatch
-def take(event: Any, output: AnswerOutput) -> RunResult | None:
-    """Take one event of a run; return the result if it ends the run."""
+def handle_event(event: Any, output: AnswerOutput) -> RunResult | None:
+    """Handle one event of a run; return the result if it ends the run."""
     return None
 
 
-@take.register
+@handle_event.register
 def _(event: RunHead, output: AnswerOutput) -> RunResult | None:
     output.head(event)
     return None
 
 
-@take.register
+@handle_event.register
 def _(event: RunChunk, output: AnswerOutput) -> RunResult | None:
     output.chunk(event)
     return None
 
 
-@take.register
+@handle_event.register
 def _(event: RunEnd, output: AnswerOutput) -> RunResult | None:
     output.end(event)
     return RunWhole(event.receipt)
 
 
-@take.register
+@handle_event.register
 def _(event: RunFailed, output: AnswerOutput) -> RunResult | None:
     if event.receipt is None:
         return RunUncertain(event.message)
     return RunBroke(event.message, event.receipt)
 
 
-@take.register
+@handle_event.register
 def _(event: RunRefused, output: AnswerOutput) -> RunResult | None:
     known = set(NotRunReason)
-    reason = NotRunReason(event.reason) if event.reason in known else UNKNOWN_REASON
+    reason = NotRunReason(event.reason) if event.reason in known else FALLBACK_REASON
     return RunNotRun(reason, event.retry_after_ms)
--- a/libs/entry/src/clementinebend_entry/ledger.py
+++ b/libs/entry/src/clementinebend_entry/ledger.py
@@ -14,7 +14,6 @@
 
 from clementinebend_entry.budget_waits import Reservation, Waiter
 from clementinebend_entry.holders import Holders
-from clementinebend_entry.judging import judge_all
 from clementinebend_entry.ledger_events import (
     CostUnknown,
     LedgerEvent,
@@ -38,9 +37,10 @@
 from clementinebend_entry.posting import unmark_posted
 from clementinebend_entry.settles import settle_records
 from clementinebend_entry.shard import LogSettings
-from clementinebend_entry.shards import Shards
+from clementinebend_entry.shards import LedgerShards
 from clementinebend_entry.succession import Succession
 from clementinebend_entry.top_ups import TopUpPoster
+from clementinebend_entry.waiter_refusals import find_refusals
 from clementinebend_ledger.holder import (
     HolderState,
     Reserved,
@@ -80,7 +80,7 @@
         self.waiters: dict[RunId, Waiter] = {}
         self.dirty = Event()
         self.changed = Event()
-        self.shards = Shards(shards, log, self.take, self.unmark_unwritten)
+        self.shards = LedgerShards(shards, log, self.take, self.unmark_unwritten)
         self.top_ups = TopUpPoster(name, self.shards)
         self.succession = Succession(self.holders, self.shards, self.loop.time())
 
@@ -163,7 +163,7 @@
         for outcome in event.outcomes:
             count_outcome(outcome, own)
             self.apply_outcome(outcome, now, event.stream)
-        if self.succession.go_over_if_due():
+        if self.succession.switch_if_due():
             self.listener.on_rotated()
         budgets = touched_budgets(event.outcomes)
         self.refresh_budgets(self.holder.budgets if budgets is None else budgets)
@@ -174,7 +174,7 @@
     def _(self, event: Restored) -> None:
         state = self.shards.by_stream[event.stream].state
         self.holders.resume(state, event.stream)
-        if self.succession.go_over_if_due():
+        if self.succession.switch_if_due():
             self.listener.on_rotated()
         self.dirty.set()
 
@@ -213,7 +213,7 @@
 
     @take.register
     def _(self, event: WitnessesSeen) -> None:
-        self.succession.seen = event
+        self.succession.reachable_witnesses = event
         self.succession.widen()
 
     @take.register
@@ -226,7 +226,7 @@
         now = self.loop.time()
         waiting = tuple(self.waiters.values())
         left = [waiter for waiter in waiting if not self.try_reserve(waiter)]
-        for run, refusal in judge_all(left, self.holder, self.top_ups, now):
+        for run, refusal in find_refusals(left, self.holder, self.top_ups, now):
             self.waiters[run].reply.set_result(refusal)
             self.take(ReservationCancelled(run))
         self.succession.prepare_if_due(now)
@@ -307,6 +307,6 @@
 
     async def close(self, patience: float) -> bool:
         """Close the holder; return whether its clean close is on the log."""
-        is_clean = self.succession.end()
+        is_clean = self.succession.close_all()
         await self.shards.close(patience)
         return is_clean and self.shards.is_flushed
--- a/libs/entry/src/clementinebend_entry/peer_server.py
+++ b/libs/entry/src/clementinebend_entry/peer_server.py
@@ -7,7 +7,7 @@
 
 from clementinebend_entry.local_witness import LocalWitness
 from clementinebend_entry.message_link import MakeHello
-from clementinebend_entry.pointer_desk import PointerDesk
+from clementinebend_entry.pointer_client import PointerClient
 from clementinebend_records.messages import (
     CloseNotice,
     ConfigurationReply,
@@ -33,7 +33,7 @@
     def __init__(
         self,
         hello: MakeHello,
-        pointers: PointerDesk,
+        pointers: PointerClient,
         own: LocalWitness,
         give_revision: GiveRevision,
         drain: Callable[[], None],
--- a/libs/entry/src/clementinebend_entry/pointers.py
+++ b/libs/entry/src/clementinebend_entry/pointers.py
@@ -1,7 +1,7 @@
-"""Pointers from request keys to runs, kept for other entries; pure.
+"""Pure store of pointers from request keys to runs, kept for other entries.
 
-The store is bounded: the oldest pointer goes first. A pointer is a hint; a
-lost one costs idempotent work a second run and never a second bill.
+The store is bounded and evicts the oldest pointer first. A pointer is only a
+hint: if it is lost, an idempotent call may run twice, but is never billed twice.
 """
 
 from collections import OrderedDict
@@ -14,7 +14,7 @@
 
 
 class Pointer(NamedTuple):
-    """Where a key's run is, since ``written_at`` (monotonic seconds)."""
+    """The run of a key, stored at ``written_at`` (monotonic seconds)."""
 
     run: RunId
     endpoint: str
@@ -23,7 +23,7 @@
 
 
 class PointerStore(NamedTuple):
-    """Pointers in the order in which they were written."""
+    """At most ``bound`` pointers, in the order in which they were written."""
 
     bound: int
     pointers: OrderedDict[RequestKey, Pointer]
@@ -37,30 +37,28 @@
 def put_pointer(
     store: PointerStore, put: PointerPut, now: float
 ) -> tuple[PointerStore, PointerReply]:
-    """Keep a pointer unless one stands; answer with the one that stands."""
+    """Store a pointer unless the key has one; reply with the stored one."""
     store = expire_pointers(store, now)
-    standing = store.pointers.get(put.key)
-    if standing is None:
-        standing = Pointer(put.run, put.endpoint, put.body_digest, now)
-        store.pointers[put.key] = standing
+    stored = store.pointers.get(put.key)
+    if stored is None:
+        stored = Pointer(put.run, put.endpoint, put.body_digest, now)
+        store.pointers[put.key] = stored
     if len(store.pointers) > store.bound:
         store.pointers.popitem(last=False)
-    reply = PointerReply(
-        put.question, standing.run, standing.endpoint, standing.body_digest
-    )
+    reply = PointerReply(put.question, stored.run, stored.endpoint, stored.body_digest)
     return store, reply
 
 
 def drop_pointer(store: PointerStore, drop: PointerDelete) -> PointerStore:
-    """Remove the pointer of a run that did not take place."""
-    standing = store.pointers.get(drop.key)
-    if standing is not None and standing.run == drop.run:
+    """Remove the pointer of a key, if it is to the given run."""
+    stored = store.pointers.get(drop.key)
+    if stored is not None and stored.run == drop.run:
         del store.pointers[drop.key]
     return store
 
 
 def expire_pointers(store: PointerStore, now: float) -> PointerStore:
-    """Remove pointers past their lifetime."""
+    """Remove pointers older than ``POINTER_LIFETIME_S``."""
     oldest = now - POINTER_LIFETIME_S
     while store.pointers:
         key = next(iter(store.pointers))
--- a/libs/entry/src/clementinebend_entry/services.py
+++ b/libs/entry/src/clementinebend_entry/services.py
@@ -5,9 +5,9 @@
 from typing import NamedTuple
 
 from clementinebend_entry.admission_gate import AdmissionGate
-from clementinebend_entry.claims import ClaimsDesk
+from clementinebend_entry.claims import ClaimsClient
 from clementinebend_entry.ledger import Ledger
-from clementinebend_entry.pointer_desk import PointerDesk
+from clementinebend_entry.pointer_client import PointerClient
 from clementinebend_entry.receipts import ReceiptTracker
 from clementinebend_entry.router import Router
 from clementinebend_entry.sidecar_pool import SidecarPool
@@ -22,7 +22,7 @@
     router: Router
     pool: SidecarPool
     ledger: Ledger
-    claims: ClaimsDesk
-    pointers: PointerDesk
+    claims: ClaimsClient
+    pointers: PointerClient
     receipts: ReceiptTracker
     watch: WatchTask
--- a/libs/entry/src/clementinebend_entry/top_ups.py
+++ b/libs/entry/src/clementinebend_entry/top_ups.py
@@ -10,7 +10,7 @@
 
 from clementinebend_declarations.models import Declarations
 from clementinebend_entry.metrics import TOP_UPS_REPOSTED
-from clementinebend_entry.shards import Shards
+from clementinebend_entry.shards import LedgerShards
 from clementinebend_ledger.replay import LedgerState
 from clementinebend_membership.rendezvous import rendezvous
 from clementinebend_records.records import TopUp
@@ -78,7 +78,7 @@
 class TopUpPoster:
     """Posts due top-ups; ``entries`` are the reachable other entries."""
 
-    def __init__(self, name: str, shards: Shards) -> None:
+    def __init__(self, name: str, shards: LedgerShards) -> None:
         self.name = name
         self.shards = shards
         self.declarations = Declarations()
--- a/tests/unit/entry/test_claims.py
+++ b/tests/unit/entry/test_claims.py
@@ -1,4 +1,8 @@
-"""Claims are given up when the log fails, and taken over by nobody."""
+"""Tests of claims during log outages and of two entries that claim one key.
+
+An abandoned claim must not win once the log is back, and a call must not be
+reported as not run while another run holds its key.
+"""
 
 from asyncio import create_task, get_running_loop, timeout
 from collections.abc import AsyncIterator
@@ -7,7 +11,7 @@
 
 from clementinebend_entry.calls import Call
 from clementinebend_entry.claimed_calls import ClaimedCall
-from clementinebend_entry.claims import ClaimsDesk
+from clementinebend_entry.claims import ClaimsClient
 from clementinebend_entry.outcomes import Refusal, Unknown
 from clementinebend_entry.shard import LogSettings
 from clementinebend_ledger.claims import ClaimWon
@@ -33,29 +37,29 @@
 
 async def test_a_claim_that_the_log_swallows_is_given_up_at_once() -> None:
     log = FakeLog()
-    desk = ClaimsDesk(ME, 1, LogSettings(log.client(ME), ME, TailSettings()))
+    claims_client = ClaimsClient(ME, 1, LogSettings(log.client(ME), ME, TailSettings()))
     deadline = get_running_loop().time() + FAR_S
     async with timeout(PATIENCE_S):
-        won = await desk.claim(KEY, "d", RunId("r1"), deadline)
+        won = await claims_client.claim(KEY, "d", RunId("r1"), deadline)
         assert isinstance(won, ClaimWon)
         await log.set(outage=True)
-        assert await desk.claim(OTHER, "d", RunId("r2"), deadline) is None
-        desk.void(OTHER, RunId("r2"))
+        assert await claims_client.claim(OTHER, "d", RunId("r2"), deadline) is None
+        claims_client.void(OTHER, RunId("r2"))
         await log.set(outage=False)
 
         async def is_heard() -> bool:
-            return desk.can_claim(OTHER)
+            return claims_client.can_claim(OTHER)
 
-        await wait_until(is_heard, "the log is heard again")
-        again = await desk.claim(OTHER, "d", RunId("r3"), deadline)
+        await wait_until(is_heard, "the log is readable again")
+        again = await claims_client.claim(OTHER, "d", RunId("r3"), deadline)
         assert isinstance(again, ClaimWon)
-        view = desk.claim_of(OTHER)
+        view = claims_client.claim_of(OTHER)
         assert view is not None and view.run == "r3"
-        await desk.close(1.0)
+        await claims_client.close(1.0)
 
 
-def desk_of(log: FakeLog, claimant: Incarnation) -> ClaimsDesk:
-    return ClaimsDesk(
+def new_claims_client(log: FakeLog, claimant: Incarnation) -> ClaimsClient:
+    return ClaimsClient(
         claimant, 1, LogSettings(log.client(claimant), claimant, TailSettings())
     )
 
@@ -72,18 +76,18 @@
 
 
 class Contest(NamedTuple):
-    """A key that ``first`` holds without having run, and a call that wants it."""
+    """A key that ``first`` has claimed without a run, and a call on ``second``."""
 
     log: FakeLog
-    first: ClaimsDesk
-    second: ClaimsDesk
+    first: ClaimsClient
+    second: ClaimsClient
     claim: ClaimedCall
 
 
 @asynccontextmanager
 async def contest() -> AsyncIterator[Contest]:
     log = FakeLog()
-    first, second = desk_of(log, ME), desk_of(log, OTHER_ENTRY)
+    first, second = new_claims_client(log, ME), new_claims_client(log, OTHER_ENTRY)
     deadline = get_running_loop().time() + FAR_S
     async with timeout(PATIENCE_S):
         won = await first.claim(KEY, "d", RunId("r1"), deadline)
@@ -94,15 +98,15 @@
         await second.close(1.0)
 
 
-async def wait_until_heard(desk: ClaimsDesk) -> None:
+async def wait_until_heard(claims_client: ClaimsClient) -> None:
     async def is_heard() -> bool:
-        return desk.can_claim(KEY) and desk.claim_of(KEY) is not None
+        return claims_client.can_claim(KEY) and claims_client.claim_of(KEY) is not None
 
     await wait_until(is_heard, "the claim is read")
 
 
 async def free_after_the_next_batch(held: Contest) -> None:
-    """Let the holder free the key once the other entry has written."""
+    """Free the key of ``first`` once the other entry has written a batch."""
 
     async def is_written() -> bool:
         return held.log.streams[STREAM].end >= 2
@@ -115,7 +119,7 @@
     None
 ):
     async with contest() as held:
-        winning = create_task(held.claim.win(RunId("r2")))
+        winning = create_task(held.claim.acquire(RunId("r2")))
         await free_after_the_next_batch(held)
         assert await winning is None
         assert held.claim.is_won
@@ -125,13 +129,13 @@
 
 async def test_a_refusal_waits_for_a_claim_that_is_about_to_be_freed() -> None:
     async with contest() as held:
-        confirming = create_task(held.claim.confirm())
+        confirming = create_task(held.claim.confirm_refusal())
         await free_after_the_next_batch(held)
         await confirming
         refusal = Refusal(NotRunReason.LOG_UNAVAILABLE, 0)
-        assert held.claim.honest(refusal) == refusal
+        assert held.claim.checked_refusal(refusal) == refusal
 
 
 async def test_a_claim_that_stands_is_told_as_unknown_in_the_end() -> None:
     async with contest() as held:
-        assert isinstance(await held.claim.win(RunId("r2")), Unknown)
+        assert isinstance(await held.claim.acquire(RunId("r2")), Unknown)
