--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -199,7 +199,7 @@
         ]
 
     async def _run_keeper(self, manager: QuotaManager) -> None:
-        """Run a mark keeper once the other entries are known.
+        """Run a quota manager once the other entries are known.
 
         Before that each entry would consider itself the home of every budget, and all
         entries together would reserve far more than one home may hold.
