--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -183,7 +183,7 @@
     def background_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return the coroutines that run until the process stops."""
         readers = [reader.run() for reader in self.readers]
-        managers = [self._run_keeper(manager) for manager in self.budgets.managers]
+        managers = [self._run_manager(manager) for manager in self.budgets.managers]
         settings = self.settings
         own = Announcement(
             self.boot, settings.zone, *settings.peers, cores=settings.cores
@@ -198,7 +198,7 @@
             self.paths.run(self.probe),
         ]
 
-    async def _run_keeper(self, manager: QuotaManager) -> None:
+    async def _run_manager(self, manager: QuotaManager) -> None:
         """Run a quota manager once the other entries are known.
 
         Before that each entry would consider itself the home of every budget, and all
