--- a/tests/unit/platform/test_worth_logs.py
+++ b/tests/unit/platform/test_worth_logs.py
@@ -35,7 +35,7 @@
         "budget, spent by the entry's count": 2,
         "budget, uncertain after a crash": 1,
         "budget, store unavailable": 1,
-        "budget, no marks read yet": 1,
+        "budget, no quotas read yet": 1,
         "overloaded": 1,
     }
 
