--- a/libs/relay/src/clementinebend_relay/interfaces.py
+++ b/libs/relay/src/clementinebend_relay/interfaces.py
@@ -122,7 +122,7 @@
     endpoints: KeyedLog
     entries: KeyedLog
     gateways: KeyedLog
-    marks: tuple[KeyedLog, ...]
+    quotas: tuple[KeyedLog, ...]
     quarantine: KeyedLog
 
 
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -98,7 +98,7 @@
         self.witness_desk = WitnessServer(boot, self._send)
         self.witnesses = Witnesses(boot, settings.zone, self.entries, self._send, clock)
         self.budgets = Budgets(
-            boot, logs.marks, self.witnesses, self.entries.has_successor, clock
+            boot, logs.quotas, self.witnesses, self.entries.has_successor, clock
         )
         sessions = SessionTracker()
         self.peers = Peers(
