--- a/libs/relay/src/clementinebend_relay/messages.py
+++ b/libs/relay/src/clementinebend_relay/messages.py
@@ -80,7 +80,7 @@
 class RemainingBudget(NamedTuple):
     """The remaining budget that a home reports if too little is left.
 
-    ``left`` is what is left for live holders, ``uncertain`` what ended holders may or
+    ``left`` is what is left for live holders, ``uncertain`` what dead holders may or
     may not have spent.
     """
 
@@ -129,7 +129,7 @@
 
 
 class EndpointLeavingMessage(Struct, tag="endpoint-leaving", array_like=True):
-    """One boot of an endpoint has told an entry that it is leaving."""
+    """An entry has learned that one boot of an endpoint is leaving."""
 
     boot: str
     endpoint: str
--- a/libs/relay/src/clementinebend_relay/quota_view.py
+++ b/libs/relay/src/clementinebend_relay/quota_view.py
@@ -57,7 +57,7 @@
 
     ``is_spent`` is true if too little of the budget is left for any holder. ``left`` is
     what was left for live holders according to the quotas read ``age`` seconds ago, and
-    ``uncertain`` what ended holders may or may not have spent. Both are ``None`` for a
+    ``uncertain`` what dead holders may or may not have spent. Both are ``None`` for a
     team without a budget here; all are ``None`` before the first read.
     """
 
