--- a/libs/relay/src/clementinebend_relay/attempts.py
+++ b/libs/relay/src/clementinebend_relay/attempts.py
@@ -272,7 +272,7 @@
 
 
 def _is_endpoint_missing(outcome: ResponseStarted | NotSent | ResponseLost) -> bool:
-    """Tell whether the endpoint was unreachable or has left its address."""
+    """Return whether the endpoint was unreachable or has left its address."""
     if isinstance(outcome, ResponseStarted):
         return outcome.verdict is Verdict.WRONG_ENDPOINT
     return isinstance(outcome, NotSent)
--- a/libs/relay/src/clementinebend_relay/cold_endpoints.py
+++ b/libs/relay/src/clementinebend_relay/cold_endpoints.py
@@ -79,7 +79,7 @@
         cold_endpoints.set(len(self.cold_boots))
 
     def is_cold(self, state: EndpointState) -> bool:
-        """Tell whether an endpoint is cold by its announcement, or assumed to be."""
+        """Return whether an endpoint is cold by its announcement, or assumed to be."""
         limit = self.limits.get(state.endpoint.service)
         if limit is None:
             return False
@@ -97,7 +97,7 @@
         return limit.cold if self.is_cold(state) else limit.warm
 
     def may_send(self, state: EndpointState, has_permit: bool | None) -> bool:
-        """Tell whether a call may be sent to an endpoint now.
+        """Return whether a call may be sent to an endpoint now.
 
         ``has_permit`` is the answer of the process that counts the endpoint's calls,
         None if its count is not available.
--- a/libs/relay/src/clementinebend_relay/discovery.py
+++ b/libs/relay/src/clementinebend_relay/discovery.py
@@ -69,12 +69,12 @@
             self.on_change()
 
     def has_successor(self, boot: str) -> bool:
-        """Tell whether a different boot of the same process has announced itself."""
+        """Return whether a different boot of the same process has announced itself."""
         newest = self.announcements.get(name_of(Incarnation(boot)))
         return newest is not None and newest.boot != boot
 
     def is_announced(self, boot: str) -> bool:
-        """Tell whether a boot is the newest announced one of its process."""
+        """Return whether a boot is the newest announced one of its process."""
         newest = self.announcements.get(name_of(Incarnation(boot)))
         return newest is not None and newest.boot == boot
 
--- a/libs/relay/src/clementinebend_relay/dispatch.py
+++ b/libs/relay/src/clementinebend_relay/dispatch.py
@@ -124,7 +124,7 @@
         return self.retries.setdefault(service, RetryWindow())
 
     def may_retry(self, service: str) -> bool:
-        """Tell whether the fleet's retry budget allows a retry here; count it if so."""
+        """Return whether the fleet's retry budget allows a retry; count it if so."""
         entries = self.peers.entry_count()
         window = self.retry_window(service)
         return window.may_retry(self.retry_limits, entries, self.clock())
@@ -134,7 +134,7 @@
         return await self.surveyor.survey(admitted, tried)
 
     def is_usable(self, survey: Survey) -> bool:
-        """Tell whether a survey is recent enough to send a call by it."""
+        """Return whether a survey is recent enough to send a call by it."""
         return self.surveyor.is_usable(survey)
 
     @contextmanager
--- a/libs/relay/src/clementinebend_relay/end_detector.py
+++ b/libs/relay/src/clementinebend_relay/end_detector.py
@@ -194,7 +194,7 @@
 
 
 async def is_refused(endpoint: Endpoint) -> bool:
-    """Tell whether an endpoint's address refuses connections."""
+    """Return whether an endpoint's address refuses connections."""
     try:
         async with timeout(CONNECT_TIMEOUT):
             _, writer = await open_connection(*endpoint.address)
--- a/libs/relay/src/clementinebend_relay/endpoint_state.py
+++ b/libs/relay/src/clementinebend_relay/endpoint_state.py
@@ -77,7 +77,7 @@
         self.last_sent_at = -inf
 
     def is_leaving(self, now: float) -> bool:
-        """Tell whether the endpoint is about to stop, by its announcement or answers.
+        """Return whether the endpoint is about to stop, by its announcement or answers.
 
         Answers are checked as well because announcements may be outdated while the
         store is unavailable.
@@ -85,7 +85,7 @@
         return self.endpoint.is_leaving or now < self.leaving_until
 
     def accepts_calls(self, now: float) -> bool:
-        """Tell whether the endpoint is neither leaving nor in a requested pause."""
+        """Return whether the endpoint is neither leaving nor in a requested pause."""
         return not self.is_leaving(now) and now >= self.paused_until
 
     def on_leaving(self, now: float) -> bool:
@@ -126,16 +126,16 @@
         return max(0.0, now - max(min(pending_since), self.heard_at))
 
     def is_streaming(self) -> bool:
-        """Tell whether an answer of the endpoint has begun and not ended."""
+        """Return whether an answer of the endpoint has begun and not ended."""
         return self.in_flight > len(self.unread)
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether the endpoint has been silent beyond the applicable limit."""
+        """Return whether the endpoint has been silent beyond the applicable limit."""
         limit = STREAM_SILENT_SECONDS if self.is_streaming() else SILENT_SECONDS
         return self.silent_for(now) >= limit
 
     def is_doubted(self, now: float) -> bool:
-        """Tell whether the endpoint should get calls only if no other one can."""
+        """Return whether the endpoint should get calls only if no other one can."""
         if self.is_silent(now):
             self.check_silence(now)
             return True
--- a/libs/relay/src/clementinebend_relay/events.py
+++ b/libs/relay/src/clementinebend_relay/events.py
@@ -31,7 +31,7 @@
         self.rest = b""
 
     def is_too_large(self) -> bool:
-        """Tell whether the buffered, incomplete event is too large."""
+        """Return whether the buffered, incomplete event is too large."""
         return len(self.rest) > MAX_EVENT_BYTES
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
@@ -47,7 +47,7 @@
 
 
 def is_next_event(event_id: str | None, previous: str | None) -> bool:
-    """Tell whether an event may directly follow the one with the ID ``previous``.
+    """Return whether an event may directly follow the one with the ID ``previous``.
 
     IDs must be consecutive numbers. An event without an ID, or with one that is not a
     number, is accepted in any order.
--- a/libs/relay/src/clementinebend_relay/interfaces.py
+++ b/libs/relay/src/clementinebend_relay/interfaces.py
@@ -66,7 +66,7 @@
     """The HTTP protocol of callers and endpoints."""
 
     def is_ready_check(self, request: Request) -> bool:
-        """Tell whether a request is a readiness check of this process."""
+        """Return whether a request is a readiness check of this process."""
         ...
 
     def read_call(self, request: Request) -> Call | Rejection:
--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -229,7 +229,7 @@
         self.paths.move(store)
 
     def is_ready(self) -> bool:
-        """Tell whether the load balancer should send callers here."""
+        """Return whether the load balancer should send callers here."""
         return self.known.is_set() and not self.is_stopping
 
     async def stop(self) -> int:
--- a/libs/relay/src/clementinebend_relay/prompt_queues.py
+++ b/libs/relay/src/clementinebend_relay/prompt_queues.py
@@ -108,7 +108,7 @@
                 await self.waiter_left.wait()
 
     def _has_room(self, admitted: Admitted, survey: Survey) -> bool:
-        """Tell whether little enough is ahead of a prompt at its best endpoint."""
+        """Return whether little enough is ahead of a prompt at its best endpoint."""
         if survey.is_rate_limited:
             return False
         service = admitted.service.name
--- a/libs/relay/src/clementinebend_relay/quarantine.py
+++ b/libs/relay/src/clementinebend_relay/quarantine.py
@@ -100,7 +100,7 @@
         return Rejection(Reason.QUARANTINED, message, QUARANTINE_RETRY_DELAY)
 
     def is_suspected(self, fingerprint: str) -> bool:
-        """Tell whether a request should run one at a time, apart from others."""
+        """Return whether a request should run one at a time, apart from others."""
         return is_suspected(self.evidence.get(fingerprint, ()))
 
     async def wait_for_turn(
@@ -122,7 +122,7 @@
         return self.refusal(fingerprint)
 
     def _must_wait(self, fingerprint: str) -> bool:
-        """Tell whether a suspect has a run in progress or a decision pending."""
+        """Return whether a suspect has a run in progress or a decision pending."""
         if not self.is_suspected(fingerprint):
             return False
         is_judged = self.clock() >= self.decision_due_at.get(fingerprint, 0.0)
@@ -195,7 +195,7 @@
         return bool(evidence) or lifted is not None
 
     def is_sound(self, fingerprint: str) -> bool:
-        """Tell whether a request was recently answered completely, or cleared."""
+        """Return whether a request was recently answered completely, or cleared."""
         at = self.sound_at.get(fingerprint)
         return at is not None and self.clock() - at < SOUND_SECONDS
 
--- a/libs/relay/src/clementinebend_relay/queue_probes.py
+++ b/libs/relay/src/clementinebend_relay/queue_probes.py
@@ -66,7 +66,7 @@
         self.versions = (-1, -1)
 
     def is_known(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint's queue has a keeper that is expected to respond.
+        """Return whether an endpoint's queue has a keeper that is expected to respond.
 
         A suspected keeper counts as such once every ``SUSPECTED_RETRY_SECONDS``.
         """
--- a/libs/relay/src/clementinebend_relay/survey.py
+++ b/libs/relay/src/clementinebend_relay/survey.py
@@ -120,7 +120,7 @@
         self.clock = clock
 
     def is_usable(self, survey: Survey) -> bool:
-        """Tell whether a survey is recent enough to send a call by it."""
+        """Return whether a survey is recent enough to send a call by it."""
         if self.clock() - survey.at > SURVEY_VALID_SECONDS:
             return False
         placement = survey.placement
