--- a/libs/relay/src/clementinebend_relay/process.py
+++ b/libs/relay/src/clementinebend_relay/process.py
@@ -98,7 +98,7 @@
         self.witness_desk = WitnessServer(boot, self._send)
         self.witnesses = Witnesses(boot, settings.zone, self.entries, self._send, clock)
         self.budgets = Budgets(
-            boot, logs.marks, self.witnesses, self.entries.has_successor, clock
+            boot, logs.quotas, self.witnesses, self.entries.has_successor, clock
         )
         sessions = SessionTracker()
         self.peers = Peers(
@@ -183,7 +183,7 @@
     def background_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return the coroutines that run until the process stops."""
         readers = [reader.run() for reader in self.readers]
-        managers = [self._run_keeper(manager) for manager in self.budgets.managers]
+        managers = [self._run_manager(manager) for manager in self.budgets.managers]
         settings = self.settings
         own = Announcement(
             self.boot, settings.zone, *settings.peers, cores=settings.cores
@@ -198,8 +198,8 @@
             self.paths.run(self.probe),
         ]
 
-    async def _run_keeper(self, manager: QuotaManager) -> None:
-        """Run a mark keeper once the other entries are known.
+    async def _run_manager(self, manager: QuotaManager) -> None:
+        """Run a quota manager once the other entries are known.
 
         Before that each entry would consider itself the home of every budget, and all
         entries together would reserve far more than one home may hold.
@@ -229,7 +229,7 @@
         self.paths.move(store)
 
     def is_ready(self) -> bool:
-        """Tell whether the load balancer should send callers here."""
+        """Return whether the load balancer should send callers here."""
         return self.known.is_set() and not self.is_stopping
 
     async def stop(self) -> int:
